--- a/queen/src/client.rs
+++ b/controller/src/client.rs
@@ -1,6 +1,6 @@
 //! The operator's client: every call has a bounded time, and exit codes tell what happened.
 
-use comb::http::{self, Answer};
+use lichenfield_runtime::http::{self, Answer};
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 const EXIT_UNREACHED: u8 = 4;
 
 fn call(at: SocketAddrV4, method: &str, path: &str, headers: &[(&str, String)], body: &[u8]) -> Result<Answer, String> {
-    comb::run(|hive| async move {
+    lichenfield_runtime::run(|executor| async move {
         let mut to = at;
         for _ in 0..=REDIRECTS {
-            let answer = http::call(hive, to, (method, path), headers, body.to_vec(), PATIENCE, || true).await?;
+            let answer = http::call(executor, to, (method, path), headers, body.to_vec(), PATIENCE, || true).await?;
             let next = answer.location.as_deref().filter(|_| answer.status == 307);
             let Some(place) = next else { return Ok(answer) };
             let host = place.strip_prefix("http://").and_then(|p| p.split('/').next()).unwrap_or_default();
@@ -33,26 +33,27 @@
                 show(&text);
                 return ExitCode::SUCCESS;
             }
-            eprintln!("queen: {} {text}", answer.status);
+            eprintln!("lichenfield-controller: {} {text}", answer.status);
             ExitCode::from(if (400..500).contains(&answer.status) { EXIT_REFUSED } else { EXIT_UNREACHED })
         }
         Err(why) => {
-            eprintln!("queen: {why}");
+            eprintln!("lichenfield-controller: {why}");
             ExitCode::from(EXIT_UNREACHED)
         }
     }
 }
 
 pub fn check(file: &str) -> ExitCode {
-    let checked = std::fs::read(file).map_err(|e| e.to_string()).and_then(|raw| brood::version::config::read(&raw));
+    let checked =
+        std::fs::read(file).map_err(|e| e.to_string()).and_then(|raw| lichenfield_engine::version::config::read(&raw));
     match checked {
         Ok(document) => {
             println!("{file}: good, revision {}", document.revision);
             ExitCode::SUCCESS
         }
         Err(why) => {
-            eprintln!("queen: {file}: {why}");
-            ExitCode::from(comb::boot::EXIT_SETTINGS)
+            eprintln!("lichenfield-controller: {file}: {why}");
+            ExitCode::from(lichenfield_runtime::startup::EXIT_SETTINGS)
         }
     }
 }
@@ -65,8 +66,8 @@
     let raw = match std::fs::read(file) {
         Ok(raw) => raw,
         Err(e) => {
-            eprintln!("queen: {file}: {e}");
-            return ExitCode::from(comb::boot::EXIT_SETTINGS);
+            eprintln!("lichenfield-controller: {file}: {e}");
+            return ExitCode::from(lichenfield_runtime::startup::EXIT_SETTINGS);
         }
     };
     finish(call(at, "PUT", "/api/config", &[("if-match", if_match.to_string())], &raw), |_| println!("taken"))
--- a/queen/src/main.rs
+++ b/controller/src/main.rs
@@ -1,11 +1,11 @@
-//! `queen`: lichenfield's control plane, and the operator's client to it.
+//! `lichenfield-controller`: lichenfield's control plane, and the operator's client to it.
 
 mod client;
-mod drive;
+mod driver;
 mod store;
 
 use clap::{Parser, Subcommand};
-use comb::boot;
+use lichenfield_runtime::startup;
 use std::process::ExitCode;
 
 /// Keeps the configuration and the list of instances, decides on primaries, and spreads the news.
@@ -81,30 +81,30 @@
 }
 
 fn serve(given: Option<String>, only_check: bool) -> ExitCode {
-    let path = boot::settings_path(given);
-    let (text, settings) = match boot::read_settings(&path) {
+    let path = startup::settings_path(given);
+    let (text, settings) = match startup::read_settings(&path) {
         Ok(read) => read,
         Err(why) => {
-            eprintln!("queen: {why}");
-            return ExitCode::from(boot::EXIT_SETTINGS);
+            eprintln!("lichenfield-controller: {why}");
+            return ExitCode::from(startup::EXIT_SETTINGS);
         }
     };
     let (Some(control), Some(data)) = (settings.listen.control, settings.data_path.clone()) else {
-        eprintln!("queen: settings {path}: listen.control and data-path are needed");
-        return ExitCode::from(boot::EXIT_SETTINGS);
+        eprintln!("lichenfield-controller: settings {path}: listen.control and data-path are needed");
+        return ExitCode::from(startup::EXIT_SETTINGS);
     };
     if only_check {
         println!("{path}: good");
         return ExitCode::SUCCESS;
     }
-    comb::ring::start();
-    let reader = boot::Reader::new(path, text);
-    match comb::run(move |hive| drive::serve(hive, settings, control, data, reader)) {
+    lichenfield_runtime::log_ring::start();
+    let reader = startup::SettingsWatcher::new(path, text);
+    match lichenfield_runtime::run(move |executor| driver::serve(executor, settings, control, data, reader)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            comb::ring::dump();
-            eprintln!("queen: {why}");
-            ExitCode::from(boot::EXIT_FAILED)
+            lichenfield_runtime::log_ring::dump();
+            eprintln!("lichenfield-controller: {why}");
+            ExitCode::from(startup::EXIT_FAILED)
         }
     }
 }
--- a/queen/src/store.rs
+++ b/controller/src/store.rs
@@ -1,4 +1,4 @@
-//! What a queen keeps on disk: its identity, term and vote, the log and the snapshot.
+//! What a controller keeps on disk: its identity, term and vote, the log and the snapshot.
 //!
 //! One file of records, each with its length and a digest. The first holds the whole state, each later
 //! one the writes of one sync. A record is written only once the one before it is synced, so whatever
@@ -8,8 +8,8 @@
 //!
 //! One thread writes. A disk that refuses or hangs is waited for: nothing is told meanwhile.
 
-use brood::process::raft::{Stored, Write};
-use brood::process::repair::digest;
+use lichenfield_engine::digest::digest;
+use lichenfield_engine::process::consensus::{PersistentState, Write};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, ErrorKind, Seek, SeekFrom};
@@ -33,20 +33,20 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
-    State(u32, Stored),
+    State(u32, PersistentState),
     Writes(Vec<Write>),
 }
 
 /// Why the store can't be used: for now, or for good.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum StoreError {
     Disk(io::Error),
     Unreadable(String),
 }
 
-impl From<io::Error> for Trouble {
+impl From<io::Error> for StoreError {
     fn from(e: io::Error) -> Self {
-        Trouble::Disk(e)
+        StoreError::Disk(e)
     }
 }
 
@@ -100,9 +100,9 @@
     }
 }
 
-fn framed(record: &Record) -> Result<Vec<u8>, Trouble> {
+fn framed(record: &Record) -> Result<Vec<u8>, StoreError> {
     let body = bincode::serde::encode_to_vec(record, bincode::config::standard())
-        .map_err(|e| Trouble::Unreadable(format!("a record can't be written: {e}")))?;
+        .map_err(|e| StoreError::Unreadable(format!("a record can't be written: {e}")))?;
     let mut bytes = Vec::with_capacity(HEAD + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&digest(&body).to_le_bytes());
@@ -120,13 +120,13 @@
 }
 
 /// The state that a file's bytes hold, and how many of them are good.
-fn read(bytes: &[u8]) -> Result<(Stored, usize), Trouble> {
-    let bad = |what: &str| Trouble::Unreadable(what.to_owned());
-    let mut state: Option<Stored> = None;
+fn read(bytes: &[u8]) -> Result<(PersistentState, usize), StoreError> {
+    let bad = |what: &str| StoreError::Unreadable(what.to_owned());
+    let mut state: Option<PersistentState> = None;
     let mut at = 0;
     while let Some(body) = body(&bytes[at..]) {
         let (record, used) = bincode::serde::decode_from_slice(body, bincode::config::standard())
-            .map_err(|e| Trouble::Unreadable(format!("a record can't be read: {e}")))?;
+            .map_err(|e| StoreError::Unreadable(format!("a record can't be read: {e}")))?;
         if used != body.len() {
             return Err(bad("a record has bytes left over"));
         }
@@ -134,7 +134,7 @@
             (Record::State(FORMAT, stored), None) => state = Some(stored),
             (Record::State(..), None) => return Err(bad("written by another version")),
             (Record::Writes(writes), Some(state)) => {
-                if !writes.into_iter().all(|w| state.take(w)) {
+                if !writes.into_iter().all(|w| state.apply(w)) {
                     return Err(bad("the log has a gap"));
                 }
             }
@@ -150,7 +150,7 @@
 
 pub struct Store<D = Folder> {
     disk: D,
-    state: Stored,
+    state: PersistentState,
     /// The file's good bytes, and those of the state when it was last written whole.
     length: u64,
     whole: u64,
@@ -166,7 +166,7 @@
     /// Opens the store, or founds it with a new identity where the folder is empty. A store that
     /// can't be read is refused, never emptied; a disk that refuses is tried until it answers.
     /// `disk_size`: bytes of the disk.
-    pub fn open(path: &str, disk_size: u64, fresh_id: u64) -> Result<(Self, Stored), String> {
+    pub fn open(path: &str, disk_size: u64, fresh_id: u64) -> Result<(Self, PersistentState), String> {
         let mut told = false;
         loop {
             match Store::try_open(Path::new(path), disk_size, fresh_id) {
@@ -174,18 +174,18 @@
                     let stored = store.state.clone();
                     return Ok((store, stored));
                 }
-                Err(Trouble::Disk(why)) => {
+                Err(StoreError::Disk(why)) => {
                     if !std::mem::replace(&mut told, true) {
                         tracing::error!("store {path}: {why}; waiting for the disk");
                     }
                     std::thread::sleep(RETRY);
                 }
-                Err(Trouble::Unreadable(why)) => return Err(format!("store {path}: {why}")),
+                Err(StoreError::Unreadable(why)) => return Err(format!("store {path}: {why}")),
             }
         }
     }
 
-    fn try_open(path: &Path, disk_size: u64, fresh_id: u64) -> Result<Self, Trouble> {
+    fn try_open(path: &Path, disk_size: u64, fresh_id: u64) -> Result<Self, StoreError> {
         std::fs::create_dir_all(path)?;
         let bytes = match std::fs::read(path.join(FILE)) {
             Ok(bytes) => bytes,
@@ -194,10 +194,10 @@
                     let name = entry?.file_name();
                     if name != FRESH {
                         let what = format!("{} is not a store's, and none is founded beside it", name.display());
-                        return Err(Trouble::Unreadable(what));
+                        return Err(StoreError::Unreadable(what));
                     }
                 }
-                let founded = Record::State(FORMAT, Stored { id: fresh_id, ..Stored::default() });
+                let founded = Record::State(FORMAT, PersistentState { id: fresh_id, ..PersistentState::default() });
                 let bytes = framed(&founded)?;
                 Folder::write_whole(path, &bytes)?;
                 bytes
@@ -216,12 +216,12 @@
 impl<D: Disk> Store<D> {
     /// Makes writes durable, together. On `Err` nothing of them is told as durable, and trying again
     /// is safe.
-    fn write(&mut self, writes: &[Write]) -> Result<(), Trouble> {
+    fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         let room = (self.whole * ROOM_TIMES).min(self.whole + self.disk_size / ROOM_PART);
         let grown = self.length > ROOM.max(room);
         if self.doubtful || grown {
             match self.write_whole(writes) {
-                Err(Trouble::Disk(_)) if !self.doubtful => {}
+                Err(StoreError::Disk(_)) if !self.doubtful => {}
                 other => return other,
             }
         }
@@ -240,10 +240,10 @@
     }
 
     /// Writes the whole state, these writes in it, to a new file.
-    fn write_whole(&mut self, writes: &[Write]) -> Result<(), Trouble> {
+    fn write_whole(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         let mut state = self.state.clone();
         for write in writes {
-            state.take(write.clone());
+            state.apply(write.clone());
         }
         let bytes = framed(&Record::State(FORMAT, state))?;
         if let Err(e) = self.disk.replace(&bytes) {
@@ -256,9 +256,9 @@
         self.settle(writes)
     }
 
-    fn settle(&mut self, writes: &[Write]) -> Result<(), Trouble> {
-        let fits = writes.iter().all(|w| self.state.take(w.clone()));
-        if fits { Ok(()) } else { Err(Trouble::Unreadable("a write left a gap in the log".into())) }
+    fn settle(&mut self, writes: &[Write]) -> Result<(), StoreError> {
+        let fits = writes.iter().all(|w| self.state.apply(w.clone()));
+        if fits { Ok(()) } else { Err(StoreError::Unreadable("a write left a gap in the log".into())) }
     }
 }
 
@@ -278,13 +278,13 @@
                 loop {
                     match self.write(&writes) {
                         Ok(()) => break,
-                        Err(Trouble::Disk(why)) => {
+                        Err(StoreError::Disk(why)) => {
                             if !std::mem::replace(&mut failing, true) {
                                 tracing::error!("the store can't be written for now: {why}");
                             }
                             std::thread::sleep(RETRY);
                         }
-                        Err(Trouble::Unreadable(why)) => {
+                        Err(StoreError::Unreadable(why)) => {
                             let _ = done.send_blocking(Err(why));
                             return;
                         }
--- a/queen/src/store/tests.rs
+++ b/controller/src/store/tests.rs
@@ -1,9 +1,9 @@
 //! The store over a disk with a power switch, and over a real folder.
 
 use super::*;
-use brood::process::raft::{Entry, Snapshot};
-use brood::version::electorate::{Electorate, Voter};
-use brood::version::ledger::{Command, Mark};
+use lichenfield_engine::process::consensus::{Entry, Snapshot};
+use lichenfield_engine::version::control_state::{Command, ProposalId};
+use lichenfield_engine::version::electorate::{Electorate, Voter};
 
 /// A disk with a power switch: what was synced, what was only written, and refusals by lot.
 #[derive(Default)]
@@ -67,11 +67,20 @@
     Store { disk, state, length: good as u64, whole: 0, disk_size: DISK, dirty, doubtful: false }
 }
 
-fn some_write(rng: &mut fastrand::Rng, state: &Stored) -> Write {
+fn some_write(rng: &mut fastrand::Rng, state: &PersistentState) -> Write {
     let last = state.last_index();
-    let entry = |i: u64| (i, Entry { term: i, mark: Mark::default(), command: Command::Drain { id: format!("i{i}") } });
+    let entry = |i: u64| {
+        (
+            i,
+            Entry {
+                term: i,
+                proposal_id: ProposalId::default(),
+                command: Command::DrainInstance { id: format!("i{i}") },
+            },
+        )
+    };
     match rng.u8(0..8) {
-        0 => Write { hard: Some((state.term + 1, Some(rng.u64(..)))), ..Write::default() },
+        0 => Write { hard_state: Some((state.term + 1, Some(rng.u64(..)))), ..Write::default() },
         1 | 2 if last > state.snapshot.index => {
             let electorate = Electorate::of(vec![Voter { id: 7, ip: std::net::Ipv4Addr::LOCALHOST }]);
             let snapshot = Snapshot { index: state.snapshot.index + 1, term: 1, electorate, state: vec![3; 300] };
@@ -94,7 +103,8 @@
 #[test]
 fn power_lost_at_any_moment_takes_only_what_was_not_told() {
     for seed in 0..300 {
-        let founded = framed(&Record::State(FORMAT, Stored { id: 7, ..Stored::default() })).expect("framed");
+        let founded =
+            framed(&Record::State(FORMAT, PersistentState { id: 7, ..PersistentState::default() })).expect("framed");
         let rng = fastrand::Rng::with_seed(seed);
         let disk = Memory { synced: founded.clone(), written: founded.clone(), refuse: 0.2, rng };
         let mut store = over(disk, &founded);
@@ -103,7 +113,7 @@
         for _ in 0..rng.usize(1..20) {
             let write = some_write(&mut rng, &told);
             let mut with = told.clone();
-            assert!(with.take(write.clone()));
+            assert!(with.apply(write.clone()));
             // The last try may be cut short by the loss of power.
             if rng.u8(0..12) == 0 {
                 let _ = store.write(std::slice::from_ref(&write));
@@ -126,10 +136,11 @@
 #[test]
 fn damage_is_refused_and_a_torn_end_is_not() {
     let record = |term| {
-        let write = Write { hard: Some((term, None)), ..Write::default() };
+        let write = Write { hard_state: Some((term, None)), ..Write::default() };
         framed(&Record::Writes(vec![write])).expect("framed")
     };
-    let mut bytes = framed(&Record::State(FORMAT, Stored { id: 7, ..Stored::default() })).expect("framed");
+    let mut bytes =
+        framed(&Record::State(FORMAT, PersistentState { id: 7, ..PersistentState::default() })).expect("framed");
     let first = bytes.len();
     bytes.extend(record(1));
     let second = bytes.len();
@@ -147,32 +158,33 @@
 
 #[test]
 fn on_a_real_folder_the_state_comes_back_and_strangers_are_refused() {
-    let path = std::env::temp_dir().join(format!("queen-store-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("controller-store-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).expect("a folder");
     std::fs::write(path.join(FRESH), b"half a founding").expect("laid");
     let mut store = Store::try_open(&path, DISK, 3).expect("founded");
-    store.write(&[Write { hard: Some((4, Some(3))), ..Write::default() }]).expect("written");
-    store.write_whole(&[Write { hard: Some((5, None)), ..Write::default() }]).expect("written anew");
+    store.write(&[Write { hard_state: Some((4, Some(3))), ..Write::default() }]).expect("written");
+    store.write_whole(&[Write { hard_state: Some((5, None)), ..Write::default() }]).expect("written anew");
     drop(store);
     let store = Store::try_open(&path, DISK, 9).expect("opened");
     assert_eq!((store.state.id, store.state.term), (3, 5));
     std::fs::remove_file(path.join(FILE)).expect("removed");
     std::fs::write(path.join("0.jnl"), b"of an earlier version").expect("laid");
-    assert!(matches!(Store::try_open(&path, DISK, 9), Err(Trouble::Unreadable(_))));
+    assert!(matches!(Store::try_open(&path, DISK, 9), Err(StoreError::Unreadable(_))));
     std::fs::remove_dir_all(&path).expect("removed");
 }
 
 #[test]
 fn large_states_and_hundreds_of_writes_never_fill_the_disk() {
-    let founded = framed(&Record::State(FORMAT, Stored { id: 7, ..Stored::default() })).expect("framed");
+    let founded =
+        framed(&Record::State(FORMAT, PersistentState { id: 7, ..PersistentState::default() })).expect("framed");
     let disk = Memory { synced: founded.clone(), written: founded.clone(), ..Memory::default() };
     let mut store = over(disk, &founded);
     let raw = |n: u64| vec![n as u8; 256_000];
     let mut most = 0;
     for index in 1..=600u64 {
         let command = Command::Configure { if_match: index - 1, raw: raw(index), by: "q".into(), at: RETRY };
-        let entries = vec![(index, Entry { term: 1, mark: Mark::default(), command })];
+        let entries = vec![(index, Entry { term: 1, proposal_id: ProposalId::default(), command })];
         store.write(&[Write { entries, ..Write::default() }]).expect("written");
         if index % 8 == 0 {
             // The state, and as much of the log behind it as a live follower may want.
--- a/brood/src/connection/instance.rs
+++ b/engine/src/connection/backend_connection.rs
@@ -1,15 +1,15 @@
 //! A pooled connection to an instance: what it holds of sessions' values and names, and the answers
 //! that are still to come on it.
 
-use super::lines::{Lines, Next};
-use super::session::Position;
+use super::client_session::Position;
+use super::framing::{LineReader, NextLine};
 use crate::request::statement::{Shape, word};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 
 /// Whose answer comes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expect {
+pub enum ExpectedAnswer {
     Greeting,
     /// A statement of our own that readies the connection.
     Setup,
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum ConnectionUse {
     Opening,
     Idle,
     /// Works for this session.
@@ -45,15 +45,15 @@
 }
 
 #[derive(Debug)]
-pub struct Conn {
+pub struct BackendConnection {
     pub instance: String,
     pub service: String,
     pub tenant: String,
-    pub usage: Use,
+    pub usage: ConnectionUse,
     pub values: BTreeMap<String, String>,
     pub prepared: HashMap<Shape, String>,
     pub names: u64,
-    pub expect: VecDeque<(Expect, Instant)>,
+    pub expect: VecDeque<(ExpectedAnswer, Instant)>,
     pub state: char,
     /// The epoch under whose lease it works as a primary's connection, while it does.
     pub epoch: Option<u64>,
@@ -61,29 +61,29 @@
     pub since: Instant,
     /// A setup statement failed with this code.
     pub setup_failed: Option<String>,
-    lines: Lines,
+    lines: LineReader,
     partial: Answer,
 }
 
 /// Bytes of one answer that are held at most.
 const ANSWER_MAX: usize = 4 << 20;
 
-impl Conn {
+impl BackendConnection {
     pub fn new(now: Instant, instance: &str, service: &str, tenant: &str) -> Self {
-        Conn {
+        BackendConnection {
             instance: instance.to_owned(),
             service: service.to_owned(),
             tenant: tenant.to_owned(),
-            usage: Use::Opening,
+            usage: ConnectionUse::Opening,
             values: BTreeMap::new(),
             prepared: HashMap::new(),
             names: 0,
-            expect: VecDeque::from([(Expect::Greeting, now)]),
+            expect: VecDeque::from([(ExpectedAnswer::Greeting, now)]),
             state: 'I',
             epoch: None,
             since: now,
             setup_failed: None,
-            lines: Lines::default(),
+            lines: LineReader::default(),
             partial: Answer::default(),
         }
     }
@@ -93,13 +93,13 @@
     }
 
     /// The next whole answer, if there is one; an error means that the connection is of no use.
-    pub fn answer(&mut self) -> Result<Option<(Expect, Instant, Answer)>, &'static str> {
+    pub fn answer(&mut self) -> Result<Option<(ExpectedAnswer, Instant, Answer)>, &'static str> {
         loop {
             let line = match self.lines.next_line() {
-                Next::Line(line) => line,
-                Next::Partial => return Ok(None),
-                Next::TooBig => return Err("over-long answer"),
-                Next::Garbage => return Err("garbage"),
+                NextLine::Line(line) => line,
+                NextLine::Partial => return Ok(None),
+                NextLine::TooBig => return Err("over-long answer"),
+                NextLine::Garbage => return Err("garbage"),
             };
             let Some((expect, sent)) = self.expect.front().copied() else { return Err("an answer to nothing") };
             let (kind, rest) = word(&line);
@@ -108,7 +108,7 @@
                 "DONE" => {}
                 "ERROR" => {
                     self.partial.code = Some(word(rest).0.to_owned());
-                    if expect == Expect::Greeting {
+                    if expect == ExpectedAnswer::Greeting {
                         self.expect.pop_front();
                         return Ok(Some((expect, sent, std::mem::take(&mut self.partial))));
                     }
@@ -166,7 +166,7 @@
 
     #[test]
     fn values_are_replayed_only_where_they_differ() {
-        let mut conn = Conn::new(Instant::now(), "i", "s", "t");
+        let mut conn = BackendConnection::new(Instant::now(), "i", "s", "t");
         let values = |pairs: &[(&str, &str)]| pairs.iter().map(|(a, b)| ((*a).to_owned(), (*b).to_owned())).collect();
         let shape = Shape { write: true, text: "q2c".into() };
         assert_eq!(conn.align(&values(&[("a", "1")]), Some(&shape)), ["SET a 1", "PREPARE w1 WRITE q2c"]);
@@ -177,11 +177,11 @@
 
     #[test]
     fn answers_are_whole_or_not_there() {
-        let mut conn = Conn::new(Instant::now(), "i", "s", "t");
+        let mut conn = BackendConnection::new(Instant::now(), "i", "s", "t");
         conn.push(b"READY I 3.7\r\nROW x\r\nDONE");
         let (expect, _, hello) = conn.answer().expect("well formed").expect("whole");
-        assert_eq!((expect, hello.position), (Expect::Greeting, Some(Position { term: 3, number: 7 })));
-        conn.expect.push_back((Expect::Statement, Instant::now()));
+        assert_eq!((expect, hello.position), (ExpectedAnswer::Greeting, Some(Position { term: 3, number: 7 })));
+        conn.expect.push_back((ExpectedAnswer::Statement, Instant::now()));
         assert_eq!(conn.answer().expect("well formed"), None);
         conn.push(b" 7.1\r\nREADY T 3.8\r\nROW stray\r\n");
         let (_, _, answer) = conn.answer().expect("well formed").expect("whole");
--- a/brood/src/connection/session.rs
+++ b/engine/src/connection/client_session.rs
@@ -1,7 +1,7 @@
 //! A client's session: its values, its prepared names, its transaction.
 
-use super::lines::Lines;
-use super::parting::{Gait, Phase, Standing};
+use super::draining::{ClientActivity, DrainPhase, SessionState};
+use super::framing::LineReader;
 use crate::request::statement::Shape;
 use crate::version::config::Route;
 use std::collections::{BTreeMap, HashMap};
@@ -28,7 +28,7 @@
 }
 
 #[derive(Debug)]
-pub enum Tx {
+pub enum Transaction {
     None,
     /// Begun by the client, not yet at an instance.
     Lazy {
@@ -49,18 +49,18 @@
     },
 }
 
-impl Tx {
+impl Transaction {
     pub fn state(&self) -> char {
         match self {
-            Tx::None => 'I',
-            Tx::Lazy { .. } | Tx::Bound { .. } => 'T',
-            Tx::Failed { .. } => 'E',
+            Transaction::None => 'I',
+            Transaction::Lazy { .. } | Transaction::Bound { .. } => 'T',
+            Transaction::Failed { .. } => 'E',
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum What {
+pub enum StatementKind {
     Read,
     Write,
     Commit,
@@ -68,7 +68,7 @@
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum StatementStage {
     /// Not given to any connection.
     Waiting,
     /// The connection is being readied; the statement itself has not been sent.
@@ -79,24 +79,24 @@
 
 /// A statement that goes to an instance.
 #[derive(Debug)]
-pub struct Op {
+pub struct PendingStatement {
     pub number: u64,
     pub id: String,
     pub text: String,
-    pub what: What,
+    pub kind: StatementKind,
     /// For `RUN`: the shape, and what follows the name.
     pub run: Option<(Shape, String)>,
     pub route: Route,
     pub tenant: String,
     pub arrived: Instant,
-    pub stage: Stage,
+    pub stage: StatementStage,
     /// Instances that turned this try away or fell silent.
     pub tried: Vec<String>,
     /// Answers that promised it had not run, so far.
     pub promises: u32,
     /// Its tenant's limit lets it through, or it has waited for that.
     pub admitted: bool,
-    pub thirsty: bool,
+    pub waited_for_rights: bool,
     /// It stands in the usage counts.
     pub counted: bool,
     /// Since when it waits for a connection.
@@ -110,24 +110,24 @@
     /// Set once `CONNECT` was answered.
     pub open: bool,
     pub opened: Option<Instant>,
-    pub lines: Lines,
+    pub lines: LineReader,
     pub values: BTreeMap<String, String>,
     pub prepared: HashMap<String, Shape>,
-    pub tx: Tx,
-    pub op: Option<Op>,
+    pub transaction: Transaction,
+    pub statement: Option<PendingStatement>,
     /// The newest own commit: its service, position, and when it was acknowledged.
-    pub own: Option<(String, Position, Instant)>,
+    pub last_own_commit: Option<(String, Position, Instant)>,
     /// Since when the transaction rests.
-    pub rests: Option<Instant>,
-    pub gait: Gait,
-    /// The forager that passes it on was asked to close it, at this stage of leaving.
-    pub parting: Option<Phase>,
+    pub idle_since: Option<Instant>,
+    pub client_activity: ClientActivity,
+    /// The pooler that passes it on was asked to close it, at this stage of leaving.
+    pub close_requested: Option<DrainPhase>,
     /// Statements of the current transaction that were sent to an instance.
-    pub tx_sent: u32,
-    /// Passed on by another forager, which was last told this version.
-    pub carried: Option<u64>,
+    pub statements_sent: u32,
+    /// Passed on by another pooler, which was last told this version.
+    pub forwarded_revision: Option<u64>,
     /// Its lines wait until this version is known here.
-    pub needs: u64,
+    pub required_revision: u64,
 }
 
 impl Session {
@@ -137,26 +137,26 @@
             key: String::new(),
             open: false,
             opened: None,
-            lines: Lines::default(),
+            lines: LineReader::default(),
             values: BTreeMap::new(),
             prepared: HashMap::new(),
-            tx: Tx::None,
-            op: None,
-            own: None,
-            rests: None,
-            gait: Gait::default(),
-            parting: None,
-            tx_sent: 0,
-            carried: None,
-            needs: 0,
+            transaction: Transaction::None,
+            statement: None,
+            last_own_commit: None,
+            idle_since: None,
+            client_activity: ClientActivity::default(),
+            close_requested: None,
+            statements_sent: 0,
+            forwarded_revision: None,
+            required_revision: 0,
         }
     }
 
-    pub fn standing(&self) -> Standing {
-        match self.tx {
-            _ if self.op.is_some() || self.lines.waiting() > 0 => Standing::Asked,
-            Tx::None => Standing::Rest,
-            _ => Standing::Open,
+    pub fn session_state(&self) -> SessionState {
+        match self.transaction {
+            _ if self.statement.is_some() || self.lines.waiting() > 0 => SessionState::Busy,
+            Transaction::None => SessionState::Idle,
+            _ => SessionState::InTransaction,
         }
     }
 }
--- a/brood/src/connection/parting.rs
+++ b/engine/src/connection/draining.rs
@@ -20,59 +20,59 @@
 
 /// How far a daemon is with leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
-    Serves,
+pub enum DrainPhase {
+    Serving,
     /// Sessions are closed once they rest.
-    Leaves,
+    Draining,
     /// Transactions that rest are rolled back; their clients are told when they go on.
-    Cuts,
+    RollingBack,
     /// Whoever still waits gets the true state of the request, and nothing new is begun.
-    Ends,
+    Closing,
     /// The process ends, whoever has not read its answer yet.
-    Over,
+    Finished,
 }
 
-impl Phase {
+impl DrainPhase {
     /// By the time since the daemon was told to leave.
-    pub fn after(spent: Duration, grace: Duration) -> Phase {
+    pub fn after(spent: Duration, grace: Duration) -> DrainPhase {
         let share = spent.as_secs_f64() / grace.as_secs_f64().max(0.001);
         match () {
-            () if share > GRACE_LINGER => Phase::Over,
-            () if share > GRACE_END => Phase::Ends,
-            () if share > GRACE_OPEN => Phase::Cuts,
-            () => Phase::Leaves,
+            () if share > GRACE_LINGER => DrainPhase::Finished,
+            () if share > GRACE_END => DrainPhase::Closing,
+            () if share > GRACE_OPEN => DrainPhase::RollingBack,
+            () => DrainPhase::Draining,
         }
     }
 }
 
 /// What a session has open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum SessionState {
     /// A question without its answer, or a part of one.
-    Asked,
+    Busy,
     /// A transaction, and nothing asked in it.
-    Open,
-    Rest,
+    InTransaction,
+    Idle,
 }
 
 /// What the client of a session was last seen to do: whether a close would meet it in an operation.
 #[derive(Debug, Clone, Default)]
-pub struct Gait {
+pub struct ClientActivity {
     /// Questions so far.
-    pub turns: u64,
+    pub statement_count: u64,
     heard: Option<Instant>,
     /// The last answer readied the session; the operation is still to come.
     readied: bool,
 }
 
-impl Gait {
+impl ClientActivity {
     /// A question has come, or something is there that was not read yet.
     pub fn stirs(&mut self, now: Instant) {
         self.heard = Some(now);
     }
 
     pub fn asked(&mut self, now: Instant) {
-        self.turns += 1;
+        self.statement_count += 1;
         self.heard = Some(now);
     }
 
@@ -82,19 +82,19 @@
     }
 
     fn between_operations(&self) -> bool {
-        self.turns > 0 && !self.readied
+        self.statement_count > 0 && !self.readied
     }
 
     /// Whether the session may be closed now, if nothing unread has come. `answered`: its client has just
     /// been given an answer, so that it can't have begun anything yet.
-    pub fn may_close(&self, now: Instant, standing: Standing, phase: Phase, answered: bool) -> bool {
+    pub fn may_close(&self, now: Instant, session_state: SessionState, phase: DrainPhase, answered: bool) -> bool {
         let patience = if self.between_operations() { QUIET } else { READIED };
         let silent = || self.heard.is_none_or(|at| now.duration_since(at) > patience);
-        match standing {
-            Standing::Asked => false,
-            _ if phase >= Phase::Ends => true,
-            Standing::Open => false,
-            Standing::Rest => (answered && self.between_operations()) || silent(),
+        match session_state {
+            SessionState::Busy => false,
+            _ if phase >= DrainPhase::Closing => true,
+            SessionState::InTransaction => false,
+            SessionState::Idle => (answered && self.between_operations()) || silent(),
         }
     }
 }
@@ -107,27 +107,45 @@
     fn an_operation_that_is_being_readied_is_not_closed() {
         let start = Instant::now();
         let at = |ms| start + Duration::from_millis(ms);
-        let mut gait = Gait::default();
-        gait.asked(at(0));
-        gait.answered(true);
-        assert!(!gait.may_close(at(1), Standing::Rest, Phase::Leaves, true), "a value was set: its operation comes");
-        assert!(!gait.may_close(at(1000), Standing::Rest, Phase::Cuts, false), "the link may be full");
-        assert!(gait.may_close(at(1600), Standing::Rest, Phase::Leaves, false), "nothing came");
-        gait.asked(at(2000));
-        assert!(!gait.may_close(at(9000), Standing::Asked, Phase::Ends, false), "the answer comes first");
-        gait.answered(false);
-        assert!(gait.may_close(at(2001), Standing::Rest, Phase::Leaves, true), "the operation has ended");
-        assert!(!gait.may_close(at(2150), Standing::Rest, Phase::Leaves, false), "the next may be on its way");
-        assert!(gait.may_close(at(2250), Standing::Rest, Phase::Leaves, false));
-        assert!(!gait.may_close(at(2250), Standing::Open, Phase::Cuts, false), "its client is to be told first");
-        assert!(gait.may_close(at(2250), Standing::Open, Phase::Ends, false));
+        let mut activity = ClientActivity::default();
+        activity.asked(at(0));
+        activity.answered(true);
+        assert!(
+            !activity.may_close(at(1), SessionState::Idle, DrainPhase::Draining, true),
+            "a value was set: its operation comes"
+        );
+        assert!(
+            !activity.may_close(at(1000), SessionState::Idle, DrainPhase::RollingBack, false),
+            "the link may be full"
+        );
+        assert!(activity.may_close(at(1600), SessionState::Idle, DrainPhase::Draining, false), "nothing came");
+        activity.asked(at(2000));
+        assert!(
+            !activity.may_close(at(9000), SessionState::Busy, DrainPhase::Closing, false),
+            "the answer comes first"
+        );
+        activity.answered(false);
+        assert!(
+            activity.may_close(at(2001), SessionState::Idle, DrainPhase::Draining, true),
+            "the operation has ended"
+        );
+        assert!(
+            !activity.may_close(at(2150), SessionState::Idle, DrainPhase::Draining, false),
+            "the next may be on its way"
+        );
+        assert!(activity.may_close(at(2250), SessionState::Idle, DrainPhase::Draining, false));
+        assert!(
+            !activity.may_close(at(2250), SessionState::InTransaction, DrainPhase::RollingBack, false),
+            "its client is to be told first"
+        );
+        assert!(activity.may_close(at(2250), SessionState::InTransaction, DrainPhase::Closing, false));
     }
 
     #[test]
     fn the_grace_is_spent_in_order() {
         let grace = Duration::from_secs(6);
-        let phases = [1000, 3100, 5200, 5800].map(|ms| Phase::after(Duration::from_millis(ms), grace));
-        assert_eq!(phases, [Phase::Leaves, Phase::Cuts, Phase::Ends, Phase::Over]);
-        assert!(phases.is_sorted() && Phase::Serves < Phase::Leaves);
+        let phases = [1000, 3100, 5200, 5800].map(|ms| DrainPhase::after(Duration::from_millis(ms), grace));
+        assert_eq!(phases, [DrainPhase::Draining, DrainPhase::RollingBack, DrainPhase::Closing, DrainPhase::Finished]);
+        assert!(phases.is_sorted() && DrainPhase::Serving < DrainPhase::Draining);
     }
 }
--- a/brood/src/connection/mod.rs
+++ b/engine/src/connection/mod.rs
@@ -1,6 +1,6 @@
 //! What lives for a connection: a client's session and the pooled connections to instances.
 
-pub mod instance;
-pub mod lines;
-pub mod parting;
-pub mod session;
+pub mod backend_connection;
+pub mod client_session;
+pub mod draining;
+pub mod framing;
--- a/brood/src/lib.rs
+++ b/engine/src/lib.rs
@@ -5,6 +5,7 @@
 //! The layout follows life spans: what lives for a request, a connection, a version, a process.
 
 pub mod connection;
+pub mod digest;
 pub mod process;
 pub mod request;
 pub mod version;
--- a/brood/src/process/raft/election.rs
+++ b/engine/src/process/consensus/election.rs
@@ -1,14 +1,14 @@
 //! Elections: pre-votes, candidates, votes, and how a lead ends.
 
-use super::replication::Leading;
-use super::samples::{bound, jitter};
-use super::{Body, Raft, Role};
+use super::duration_samples::{bound, jitter};
+use super::replication::LeaderState;
+use super::{MessageBody, Raft, Role};
+use crate::version::control_state::{Command, ProposalId};
 use crate::version::electorate::{Voter, VoterId};
-use crate::version::ledger::{Command, Mark};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Bounds of the candidate's timer.
+/// TimingBounds of the candidate's timer.
 const CANDIDATE_FLOOR: Duration = Duration::from_millis(20);
 /// Up to 2^this times the candidate timer after candidacies that failed, but no more than so many T: votes that
 /// were lost on a bad link are asked for again soon after it is well.
@@ -23,21 +23,22 @@
     /// added, measured alike.
     pub fn candidate_timeout(&self) -> Duration {
         if self.broadcast.is_empty() && self.syncs.is_empty() {
-            return self.parameters.t;
+            return self.parameters.election_timeout;
         }
         let measured = bound(&self.broadcast) + 2 * bound(&self.syncs);
-        measured.max(CANDIDATE_FLOOR).min(self.parameters.t * 2)
+        measured.max(CANDIDATE_FLOOR).min(self.parameters.election_timeout * 2)
     }
 
     fn arm_candidate(&mut self, now: Instant) {
-        let base = (self.candidate_timeout() * 2u32.pow(self.backoff)).min(self.parameters.t * BACKOFF_T);
+        let base =
+            (self.candidate_timeout() * 2u32.pow(self.backoff)).min(self.parameters.election_timeout * BACKOFF_T);
         self.due = now + jitter(&mut self.rng, base);
     }
 
     /// Follower timeouts come from U(T, 2T).
     pub(super) fn arm_follower(&mut self, now: Instant) {
         let times = if self.leaving.is_some() { LEAVER_LATER } else { 1 };
-        self.due = now + jitter(&mut self.rng, self.parameters.t) * times;
+        self.due = now + jitter(&mut self.rng, self.parameters.election_timeout) * times;
     }
 
     fn has_majority(&self, votes: &BTreeSet<VoterId>) -> bool {
@@ -50,7 +51,7 @@
         self.pre_votes = BTreeSet::from([self.me.id]);
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         for peer in self.others() {
-            self.send(peer, Body::PreVote { last_index, last_term });
+            self.send(peer, MessageBody::PreVote { last_index, last_term });
         }
         if self.has_majority(&self.pre_votes) {
             self.stand(now);
@@ -66,7 +67,7 @@
         self.arm_candidate(now);
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         for peer in self.others() {
-            self.send(peer, Body::RequestVote { last_index, last_term });
+            self.send(peer, MessageBody::RequestVote { last_index, last_term });
         }
         if self.has_majority(&self.votes) {
             self.lead(now);
@@ -78,7 +79,7 @@
         self.leader = Some(self.me);
         self.elections.push(now.duration_since(self.election_began));
         let next = self.log.last_index() + 1;
-        self.leading = Leading::new(now, next);
+        self.leading = LeaderState::new(now, next);
         for peer in self.others() {
             self.add_peer(now, peer, next);
         }
@@ -86,8 +87,8 @@
         // greetings learns of it from the others.
         let founding = self.log.electorate_index() == 0 && self.log.snapshot.index == 0;
         let electorate = self.log.electorate().clone();
-        let first = if founding { Command::Voters { electorate } } else { Command::Noop };
-        self.append(now, Mark::default(), first);
+        let first = if founding { Command::ChangeElectorate { electorate } } else { Command::Noop };
+        self.append(now, ProposalId::default(), first);
     }
 
     pub(super) fn follow(&mut self, now: Instant, term: u64, leader: Option<Voter>) {
@@ -102,8 +103,8 @@
             // A late vote must not let it lead the same term again: answers to the rounds of the first time
             // would count for those of the second.
             self.votes.clear();
-            self.as_of = self.as_of();
-            self.leading = Leading::default();
+            self.as_of = self.last_quorum_contact();
+            self.leading = LeaderState::default();
         }
         self.role = Role::Follower;
         self.leader = leader;
@@ -112,10 +113,10 @@
 
     pub(super) fn pre_vote_asked(&mut self, now: Instant, from: Voter, term: u64, last: (u64, u64)) {
         // One that still hears its leader does not help to unseat it.
-        let content =
-            self.role == Role::Leader || self.heard_leader.is_some_and(|h| now.duration_since(h) < self.parameters.t);
+        let content = self.role == Role::Leader
+            || self.heard_leader.is_some_and(|h| now.duration_since(h) < self.parameters.election_timeout);
         let granted = !content && term >= self.term && self.up_to_date(last);
-        self.send(from, Body::PreVoteAnswer { granted });
+        self.send(from, MessageBody::PreVoteResponse { granted });
         if self.role == Role::Leader && !self.log.electorate().has(from.id) {
             // It was retired while it was away and does not know.
             self.admit(now, from, true);
@@ -146,7 +147,7 @@
             self.role = Role::Follower;
             self.arm_follower(now);
         }
-        self.send(from, Body::Vote { granted });
+        self.send(from, MessageBody::VoteResponse { granted });
     }
 
     pub(super) fn voted(&mut self, now: Instant, from: Voter, term: u64, granted: bool) {
@@ -167,7 +168,7 @@
 
     /// A leader that no majority answers steps down (ours).
     pub(super) fn check_quorum(&mut self, now: Instant) {
-        let patience = self.parameters.t * 2;
+        let patience = self.parameters.election_timeout * 2;
         if self.leading.since.is_some_and(|s| now.duration_since(s) < patience) {
             return;
         }
@@ -182,7 +183,7 @@
     /// to an electorate that it is not in. It takes no proposals then, so that somebody catches up with it.
     pub(super) fn hands_on(&self, now: Instant) -> bool {
         let out = || !self.is_voter() && self.commit >= self.log.electorate_index();
-        let silent = || self.disk_silent(now) > self.parameters.t * 2;
+        let silent = || self.disk_silent(now) > self.parameters.election_timeout * 2;
         self.role == Role::Leader && (self.leaving.is_some() || silent() || out())
     }
 
@@ -192,7 +193,7 @@
         if !self.hands_on(now) {
             return;
         }
-        let (last, patience) = (self.log.last_index(), self.parameters.t * 2);
+        let (last, patience) = (self.log.last_index(), self.parameters.election_timeout * 2);
         let level = |v: &&Voter| {
             let peer = self.leading.peers.get(&v.id);
             peer.is_some_and(|p| {
@@ -201,7 +202,7 @@
         };
         let voters = &self.log.electorate().voters;
         if let Some(heir) = voters.iter().filter(|v| v.id != self.me.id).find(level).copied() {
-            self.send(heir, Body::Succeed);
+            self.send(heir, MessageBody::TimeoutNow);
         }
     }
 }
--- a/brood/src/process/raft/log.rs
+++ b/engine/src/process/consensus/log.rs
@@ -1,8 +1,8 @@
 //! The log in memory: a snapshot, and entries from somewhat before it on.
 
-use super::{Entry, Snapshot, Stored};
+use super::{Entry, PersistentState, Snapshot};
+use crate::version::control_state::Command;
 use crate::version::electorate::{Electorate, VoterId};
-use crate::version::ledger::Command;
 use std::collections::VecDeque;
 
 /// Bytes of entries kept behind the snapshot, so that whoever is a little behind needs no snapshot; and while
@@ -22,7 +22,7 @@
 }
 
 impl Log {
-    pub fn new(stored: Stored) -> Self {
+    pub fn new(stored: PersistentState) -> Self {
         let mut log = Log {
             snapshot: stored.snapshot,
             base_index: stored.base_index,
@@ -91,7 +91,7 @@
     pub fn was_voter(&self, id: VoterId) -> bool {
         let before =
             (self.snapshot.index + 1..self.electorate_index).rev().find_map(|at| match &self.entry(at)?.command {
-                Command::Voters { electorate } => Some(electorate),
+                Command::ChangeElectorate { electorate } => Some(electorate),
                 _ => None,
             });
         before.unwrap_or(&self.snapshot.electorate).has(id)
@@ -101,14 +101,14 @@
     fn find_electorate(&mut self) {
         let newer = self.last_index() - self.snapshot.index;
         let found = self.entries.iter().enumerate().rev().take(newer as usize).find_map(|(at, e)| match &e.command {
-            Command::Voters { electorate } => Some((self.base_index + 1 + at as u64, electorate.clone())),
+            Command::ChangeElectorate { electorate } => Some((self.base_index + 1 + at as u64, electorate.clone())),
             _ => None,
         });
         (self.electorate_index, self.electorate) = found.unwrap_or((0, self.snapshot.electorate.clone()));
     }
 
     pub fn push(&mut self, entry: Entry) -> u64 {
-        if let Command::Voters { electorate } = &entry.command {
+        if let Command::ChangeElectorate { electorate } = &entry.command {
             (self.electorate_index, self.electorate) = (self.last_index() + 1, electorate.clone());
         }
         self.entries.push_back(entry);
@@ -132,7 +132,7 @@
         let Some(term) = self.term_at(index) else { return };
         let mut electorate = self.snapshot.electorate.clone();
         for i in self.snapshot.index + 1..=index {
-            if let Some(Command::Voters { electorate: newer }) = self.entry(i).map(|e| &e.command) {
+            if let Some(Command::ChangeElectorate { electorate: newer }) = self.entry(i).map(|e| &e.command) {
                 electorate = newer.clone();
             }
         }
--- a/brood/src/process/raft/membership.rs
+++ b/engine/src/process/consensus/membership_change.rs
@@ -1,9 +1,9 @@
 //! Who votes: learners that catch up, and electorates that follow one another by joint consensus.
 
-use super::replication::Peer;
-use super::{Body, Raft, Role};
+use super::replication::Progress;
+use super::{MessageBody, Raft, Role};
+use crate::version::control_state::{Command, ProposalId};
 use crate::version::electorate::{Electorate, Voter, VoterId};
-use crate::version::ledger::{Command, Mark};
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
 const RETIRE_AFTER: Duration = Duration::from_millis(1500);
 /// A newcomer counts as ready while it was heard within this.
 const READY_WITHIN: Duration = Duration::from_millis(500);
-/// A lap of catching up takes a ready one no longer than this many T.
-const LAP: u32 = 4;
+/// A catch_up of catching up takes a ready one no longer than this many T.
+const CATCH_UP_ROUND_MAX: u32 = 4;
 /// Outsiders silent for this long are no longer sent the log; they ask again.
 const OUTSIDER_GONE: Duration = Duration::from_secs(10);
 /// One that says it is about to end says so again within this many T.
@@ -25,16 +25,16 @@
 /// How a newcomer catches up: in laps, each to where the log ended when it began. Whoever runs the last one
 /// in a short time lacks no more than what was appended meanwhile, however busy the log is.
 #[derive(Debug)]
-pub(super) struct Lap {
+pub(super) struct CatchUpRound {
     began: Instant,
     target: u64,
-    /// What the last whole lap took.
+    /// What the last whole catch_up took.
     took: Option<Duration>,
 }
 
-impl Lap {
+impl CatchUpRound {
     pub fn new(now: Instant, target: u64) -> Self {
-        Lap { began: now, target, took: None }
+        CatchUpRound { began: now, target, took: None }
     }
 
     pub fn reached(&mut self, now: Instant, matched: u64, last: u64) {
@@ -92,14 +92,14 @@
 
     /// What a daemon outside the electorate sends to be sent the log.
     pub fn join(&mut self, to: Ipv4Addr, voter: bool) {
-        self.send(Voter { id: 0, ip: to }, Body::Join { voter });
+        self.send(Voter { id: 0, ip: to }, MessageBody::Join { voter });
     }
 
     /// One step towards the electorate that should be. The next one is begun only when the one before it and
     /// an entry of the own term are committed, and while a majority follows; `docs/raft.md` tells why this is safe.
     pub(super) fn settle_membership(&mut self, now: Instant) {
-        let settled = self.confirmed(now) && self.commit >= self.log.electorate_index();
-        let able = self.is_voter() && self.disk_silent(now) <= self.parameters.t * 2;
+        let settled = self.is_confirmed_leader(now) && self.commit >= self.log.electorate_index();
+        let able = self.is_voter() && self.disk_silent(now) <= self.parameters.election_timeout * 2;
         if self.role != Role::Leader || !settled || !able {
             return;
         }
@@ -113,7 +113,7 @@
                 None => return,
             }
         };
-        self.append(now, Mark::default(), Command::Voters { electorate: next });
+        self.append(now, ProposalId::default(), Command::ChangeElectorate { electorate: next });
     }
 
     /// The voters that there should be, if others than there are.
@@ -122,11 +122,11 @@
         let peers = &self.leading.peers;
         let votes = |id: VoterId| voters.iter().any(|v| v.id == id);
         let outside = || peers.iter().filter(|(id, p)| p.wants && !votes(**id));
-        let (lap, last) = (self.parameters.t * LAP, self.log.last_index());
+        let (catch_up, last) = (self.parameters.election_timeout * CATCH_UP_ROUND_MAX, self.log.last_index());
         let ready = outside().filter(|(_, p)| {
             p.heard.is_some_and(|h| now.duration_since(h) < READY_WITHIN)
                 && !self.is_leaving(p, now)
-                && (p.matched >= last || p.lap.is_short(now, lap))
+                && (p.matched >= last || p.catch_up.is_short(now, catch_up))
         });
         let mut ready: Vec<Voter> = ready.map(|(id, p)| Voter { id: *id, ip: p.ip }).collect();
 
@@ -136,7 +136,8 @@
             let Some(peer) = peers.get(&voter.id) else { continue };
             let silent = silence(peer, now);
             // Two identities at one address: the disk there is new, and the voter that was on it is no more.
-            let wiped = silent > self.parameters.t * 2 && outside().any(|(_, p)| p.ip == voter.ip && p.heard.is_some());
+            let wiped = silent > self.parameters.election_timeout * 2
+                && outside().any(|(_, p)| p.ip == voter.ip && p.heard.is_some());
             let rank = match () {
                 () if wiped => 0,
                 () if self.is_leaving(peer, now) => 1,
@@ -167,7 +168,7 @@
         // missing, also nobody whose successor one of them is: each voter has answered a round begun after
         // the newcomers asked.
         let asked = ready.iter().filter_map(|r| peers.get(&r.id)).map(|p| p.since_round).max().unwrap_or(0);
-        let here = |p: &Peer| p.round > asked && silence(p, now) < READY_WITHIN;
+        let here = |p: &Progress| p.round > asked && silence(p, now) < READY_WITHIN;
         let all_here = voters.iter().all(|v| v.id == self.me.id || peers.get(&v.id).is_some_and(here));
         ready.retain(|r| next.iter().all(|v| v.ip != r.ip));
         let mut ready = ready.into_iter();
@@ -196,13 +197,13 @@
 
     // ---- leaving ----------------------------------------------------------------------------
 
-    fn is_leaving(&self, peer: &Peer, now: Instant) -> bool {
-        peer.leaving.is_some_and(|at| now.duration_since(at) < self.parameters.t * LEAVING)
+    fn is_leaving(&self, peer: &Progress, now: Instant) -> bool {
+        peer.leaving.is_some_and(|at| now.duration_since(at) < self.parameters.election_timeout * LEAVING)
     }
 
     /// This daemon is about to end: a leader takes no more proposals, lets another catch up and hands on;
     /// then, and otherwise, it asks to be taken out of the electorate. [`Raft::may_end`] tells when.
-    pub fn leave(&mut self, now: Instant) {
+    pub fn begin_shutdown(&mut self, now: Instant) {
         self.clock = now;
         if self.leaving.is_none() {
             self.leaving = Some(now);
@@ -211,7 +212,7 @@
     }
 
     /// Whether this daemon is about to end.
-    pub fn leaves(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.leaving.is_some()
     }
 
@@ -223,11 +224,11 @@
     }
 
     pub(super) fn ask_to_leave(&mut self, now: Instant) {
-        self.leave_due = Some(now + self.parameters.t / 2);
+        self.leave_due = Some(now + self.parameters.election_timeout / 2);
         if self.role == Role::Leader {
             self.hand_on(now);
         } else if let Some(leader) = self.leader.filter(|l| l.id != self.me.id) {
-            self.send(leader, Body::Leave);
+            self.send(leader, MessageBody::Leave);
         }
     }
 
@@ -243,8 +244,9 @@
         self.settle_membership(now);
         let electorate = self.log.electorate();
         let under_way = self.commit < self.log.electorate_index() || electorate.is_joint();
-        let young = self.leading.since.is_none_or(|s| now.duration_since(s) < self.parameters.t * SETTLED);
-        let live = |p: &Peer| p.heard.is_some_and(|h| now.duration_since(h) < self.parameters.t * 2);
+        let young =
+            self.leading.since.is_none_or(|s| now.duration_since(s) < self.parameters.election_timeout * SETTLED);
+        let live = |p: &Progress| p.heard.is_some_and(|h| now.duration_since(h) < self.parameters.election_timeout * 2);
         let commit = self.commit;
         let others = || electorate.voters.iter().filter(|v| v.id != from.id);
         let holds = |v: &&Voter| match v.id == self.me.id {
@@ -256,12 +258,12 @@
         let copies = (self.parameters.tolerance + 1).min(others().filter(lives).count());
         let safe = others().filter(holds).count() >= copies;
         if !under_way && safe && (!electorate.has(from.id) || !young) {
-            self.send(from, Body::Left);
+            self.send(from, MessageBody::LeaveApproved);
         }
     }
 }
 
 /// How long a peer has not been heard.
-fn silence(peer: &Peer, now: Instant) -> Duration {
+fn silence(peer: &Progress, now: Instant) -> Duration {
     now.duration_since(peer.heard.unwrap_or(peer.since))
 }
--- a/brood/src/process/raft/wire.rs
+++ b/engine/src/process/consensus/message.rs
@@ -9,24 +9,24 @@
     pub from: Voter,
     pub to: VoterId,
     pub term: u64,
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks whether a vote would be given, without raising anybody's term.
     PreVote {
         last_index: u64,
         last_term: u64,
     },
-    PreVoteAnswer {
+    PreVoteResponse {
         granted: bool,
     },
     RequestVote {
         last_index: u64,
         last_term: u64,
     },
-    Vote {
+    VoteResponse {
         granted: bool,
     },
     AppendEntries {
@@ -40,7 +40,7 @@
         echo: u32,
         confirmed: u64,
     },
-    Appended {
+    AppendResponse {
         round: u64,
         success: bool,
         index: u64,
@@ -48,7 +48,7 @@
     },
     /// A leader of an older term is told so. Not by `Appended`: it may lead the newer one by now, and would
     /// take the round for one of this lead's.
-    Deposed,
+    StaleTerm,
     /// A part of a snapshot.
     InstallSnapshot {
         round: u64,
@@ -57,7 +57,7 @@
         bytes: Vec<u8>,
     },
     /// So many bytes of this snapshot are here; the next are wanted from there on.
-    SnapshotTaken {
+    SnapshotResponse {
         round: u64,
         of: SnapshotId,
         offset: u64,
@@ -67,11 +67,11 @@
         voter: bool,
     },
     /// The leader hands its lead on: stand at once.
-    Succeed,
+    TimeoutNow,
     /// A daemon is about to end, and asks to be taken out of the electorate if others can spare it.
     Leave,
     /// It may end now.
-    Left,
+    LeaveApproved,
 }
 
 /// One snapshot, whoever sends it: equal states at equal indexes are equal bytes.
--- a/brood/src/process/raft/mod.rs
+++ b/engine/src/process/consensus/mod.rs
@@ -3,31 +3,34 @@
 //! The caller performs the outputs in order, with one rule that carries the safety: a message names
 //! the [`Effect::Write`] that it rests on, and is let out only once that write is durable.
 
-mod contact;
+mod duration_samples;
 mod election;
 mod log;
-mod membership;
+mod membership_change;
+mod message;
+mod quorum_contact;
 mod replication;
-mod samples;
 mod snapshot;
-mod stored;
-mod wire;
+mod storage;
 
-pub use stored::{Entry, Snapshot, Stored, Write};
-pub use wire::{Body, Message, SnapshotId};
+pub use message::{Message, MessageBody, SnapshotId};
+pub use storage::{Entry, PersistentState, Snapshot, Write};
 
 use crate::version::electorate::{Voter, VoterId};
-use contact::Contact;
+use duration_samples::{jitter, keep};
 use election::BACKOFF_MAX;
 use log::Log;
-use replication::Leading;
-use samples::{jitter, keep};
-use snapshot::{Incoming, Packed};
+use quorum_contact::QuorumContact;
+use replication::LeaderState;
+use snapshot::{EncodedSnapshot, IncomingSnapshot};
 use std::collections::{BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// A leader counts as confirmed this long after a round began that a majority answered.
+pub const LEADER_CONFIRMATION: Duration = Duration::from_millis(400);
+
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// To be made durable; answered by [`Raft::durable`] with the same number.
@@ -54,21 +57,27 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Parameters {
     /// T of the paper: follower timeouts come from U(T, 2T), heartbeats go every T/2.
-    pub t: Duration,
+    pub election_timeout: Duration,
     /// A leader counts as confirmed for this long after a round that a majority answered began.
-    pub confirm: Duration,
+    pub confirmation_window: Duration,
     /// How many disks may be lost at once: what is committed is on more of them.
     pub tolerance: usize,
     /// Entries that stay in the log behind a snapshot.
-    pub tail_entries: u64,
+    pub retained_entries: u64,
     /// Bytes of one piece of a snapshot on its way.
-    pub piece_bytes: usize,
+    pub snapshot_chunk_bytes: usize,
 }
 
 impl Parameters {
     /// With the usual tail and pieces.
     pub fn new(t: Duration, confirm: Duration, tolerance: usize) -> Self {
-        Parameters { t, confirm, tolerance, tail_entries: 1024, piece_bytes: 64 * 1024 }
+        Parameters {
+            election_timeout: t,
+            confirmation_window: confirm,
+            tolerance,
+            retained_entries: 1024,
+            snapshot_chunk_bytes: 64 * 1024,
+        }
     }
 }
 
@@ -85,7 +94,7 @@
     /// All that was decided before this moment is applied here; after a start nothing but what the last
     /// snapshot held.
     as_of: Option<Instant>,
-    contact: Contact,
+    contact: QuorumContact,
     durable: u64,
     writes: u64,
     /// The newest write of term and vote.
@@ -108,10 +117,10 @@
     clock: Instant,
     /// How long elections took that this daemon won.
     pub elections: Vec<Duration>,
-    leading: Leading,
+    leading: LeaderState,
     /// The snapshot as it is sent, once somebody wanted it.
-    packed: Option<Rc<Packed>>,
-    incoming: Option<Incoming>,
+    packed: Option<Rc<EncodedSnapshot>>,
+    incoming: Option<IncomingSnapshot>,
     /// This daemon is about to end, since then; when it asks the leader again; and whether it was let go.
     leaving: Option<Instant>,
     leave_due: Option<Instant>,
@@ -121,8 +130,14 @@
 }
 
 impl Raft {
-    pub fn new(now: Instant, me: Ipv4Addr, parameters: Parameters, stored: Stored, mut rng: fastrand::Rng) -> Self {
-        let due = now + jitter(&mut rng, parameters.t);
+    pub fn new(
+        now: Instant,
+        me: Ipv4Addr,
+        parameters: Parameters,
+        stored: PersistentState,
+        mut rng: fastrand::Rng,
+    ) -> Self {
+        let due = now + jitter(&mut rng, parameters.election_timeout);
         let (id, term, vote) = (stored.id, stored.term, stored.vote);
         let log = Log::new(stored);
         let covered = log.snapshot.index;
@@ -135,7 +150,7 @@
             applied: covered,
             fresh_bytes: 0,
             as_of: None,
-            contact: Contact::default(),
+            contact: QuorumContact::default(),
             durable: log.last_index(),
             log,
             writes: 0,
@@ -154,7 +169,7 @@
             sync_began: VecDeque::new(),
             clock: now,
             elections: Vec::new(),
-            leading: Leading::default(),
+            leading: LeaderState::default(),
             packed: None,
             incoming: None,
             leaving: None,
@@ -188,7 +203,7 @@
         self.log.last_index()
     }
     /// The snapshot's index, and how many entries are kept, also from before it.
-    pub fn kept(&self) -> (u64, usize) {
+    pub fn retained_log(&self) -> (u64, usize) {
         (self.log.snapshot.index, self.log.len())
     }
     pub fn effects(&mut self) -> Vec<Effect> {
@@ -202,14 +217,14 @@
 
     /// All that was decided before this moment is applied here, by this daemon's own clock and however long
     /// messages were on their way: a leader of which that is true was in contact with a majority after it.
-    pub fn as_of(&self) -> Option<Instant> {
+    pub fn last_quorum_contact(&self) -> Option<Instant> {
         let leads = self.role == Role::Leader && self.commit >= self.leading.first;
         self.as_of.max(self.leading.confirmed.filter(|_| leads))
     }
 
     /// Whether the state here has been current at some moment since the start.
-    pub fn current(&self) -> bool {
-        self.as_of().is_some()
+    pub fn has_had_quorum_contact(&self) -> bool {
+        self.last_quorum_contact().is_some()
     }
 
     /// The entry at an index, while it is not compacted away.
@@ -219,7 +234,7 @@
 
     fn write(&mut self, write: Write) {
         self.writes += 1;
-        if write.hard.is_some() {
+        if write.hard_state.is_some() {
             self.hard_write = self.writes;
         }
         self.writing.push_back((self.writes, self.log.last_index()));
@@ -231,12 +246,12 @@
     fn write_hard(&mut self) {
         let hard = Some((self.term, self.vote));
         if let Some(Effect::Write(_, last)) = self.out.last_mut()
-            && last.hard.is_some()
+            && last.hard_state.is_some()
         {
-            last.hard = hard;
+            last.hard_state = hard;
             return;
         }
-        self.write(Write { hard, ..Write::default() });
+        self.write(Write { hard_state: hard, ..Write::default() });
     }
 
     /// What stood from this index on is not in the log any more, also where it is being written.
@@ -247,16 +262,23 @@
         }
     }
 
-    fn send(&mut self, to: Voter, body: Body) {
+    fn send(&mut self, to: Voter, body: MessageBody) {
         let after = match body {
             // A vote, or word of what is in the log here, rests on all that was written before.
-            Body::RequestVote { .. } | Body::Vote { .. } | Body::Appended { .. } | Body::SnapshotTaken { .. } => {
-                self.writes
-            }
+            MessageBody::RequestVote { .. }
+            | MessageBody::VoteResponse { .. }
+            | MessageBody::AppendResponse { .. }
+            | MessageBody::SnapshotResponse { .. } => self.writes,
             // A leader's messages rest on its term alone: it counts itself only for what is durable.
-            Body::AppendEntries { .. } | Body::InstallSnapshot { .. } | Body::Succeed | Body::Left => self.hard_write,
-            Body::Deposed => self.hard_write,
-            Body::PreVote { .. } | Body::PreVoteAnswer { .. } | Body::Join { .. } | Body::Leave => 0,
+            MessageBody::AppendEntries { .. }
+            | MessageBody::InstallSnapshot { .. }
+            | MessageBody::TimeoutNow
+            | MessageBody::LeaveApproved => self.hard_write,
+            MessageBody::StaleTerm => self.hard_write,
+            MessageBody::PreVote { .. }
+            | MessageBody::PreVoteResponse { .. }
+            | MessageBody::Join { .. }
+            | MessageBody::Leave => 0,
         };
         let message = Message { from: self.me, to: to.id, term: self.term, body };
         self.out.push(Effect::Send(to.ip, message, after));
@@ -296,8 +318,8 @@
             return;
         }
         // One whose disk hangs could not vote for itself either.
-        if !self.may_stand() || self.disk_silent(now) > self.parameters.t * 2 {
-            self.due = now + jitter(&mut self.rng, self.parameters.t) * 2;
+        if !self.may_stand() || self.disk_silent(now) > self.parameters.election_timeout * 2 {
+            self.due = now + jitter(&mut self.rng, self.parameters.election_timeout) * 2;
             return;
         }
         match self.role {
@@ -318,7 +340,7 @@
     }
 
     /// A write is on disk.
-    pub fn durable(&mut self, now: Instant, write: u64) {
+    pub fn on_write_durable(&mut self, now: Instant, write: u64) {
         self.clock = now;
         while let Some((number, began)) = self.sync_began.front().copied() {
             if number > write {
@@ -340,32 +362,34 @@
         }
     }
 
-    pub fn receive(&mut self, now: Instant, message: Message) {
+    pub fn handle_message(&mut self, now: Instant, message: Message) {
         self.clock = now;
         let Message { from, to, term, body } = message;
-        if to != self.me.id && !matches!(body, Body::Join { .. }) {
+        if to != self.me.id && !matches!(body, MessageBody::Join { .. }) {
             return;
         }
         // These raise nobody's term.
         match body {
-            Body::PreVote { last_index, last_term } => {
+            MessageBody::PreVote { last_index, last_term } => {
                 return self.pre_vote_asked(now, from, term, (last_index, last_term));
             }
-            Body::PreVoteAnswer { granted } => return self.pre_vote_answered(now, from, term, granted),
-            Body::Join { voter } => return self.admit(now, from, voter),
-            Body::Leave => return self.leave_asked(now, from),
+            MessageBody::PreVoteResponse { granted } => return self.pre_vote_answered(now, from, term, granted),
+            MessageBody::Join { voter } => return self.admit(now, from, voter),
+            MessageBody::Leave => return self.leave_asked(now, from),
             _ => {}
         }
         if term > self.term {
-            let leads = matches!(body, Body::AppendEntries { .. } | Body::InstallSnapshot { .. });
+            let leads = matches!(body, MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. });
             self.follow(now, term, leads.then_some(from));
         }
         match body {
-            Body::RequestVote { last_index, last_term } => self.vote_asked(now, from, term, (last_index, last_term)),
-            Body::Vote { granted } => self.voted(now, from, term, granted),
-            Body::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed } => {
+            MessageBody::RequestVote { last_index, last_term } => {
+                self.vote_asked(now, from, term, (last_index, last_term))
+            }
+            MessageBody::VoteResponse { granted } => self.voted(now, from, term, granted),
+            MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed } => {
                 if term < self.term {
-                    return self.send(from, Body::Deposed);
+                    return self.send(from, MessageBody::StaleTerm);
                 }
                 self.hear(now, from);
                 let contact = self.contact.heard((from.id, term), round, echo, confirmed);
@@ -378,30 +402,30 @@
                 }
                 self.answer(from, round, success, index);
             }
-            Body::InstallSnapshot { round, of, offset, bytes } => {
+            MessageBody::InstallSnapshot { round, of, offset, bytes } => {
                 if term < self.term {
-                    return self.send(from, Body::Deposed);
+                    return self.send(from, MessageBody::StaleTerm);
                 }
                 self.hear(now, from);
                 match self.take_piece(of, offset, &bytes) {
-                    Some(offset) => self.send(from, Body::SnapshotTaken { round, of, offset }),
+                    Some(offset) => self.send(from, MessageBody::SnapshotResponse { round, of, offset }),
                     None => self.answer(from, round, true, self.commit),
                 }
             }
-            Body::Appended { round, success, index, nonce } if self.leads(term) => {
+            MessageBody::AppendResponse { round, success, index, nonce } if self.leads(term) => {
                 if let Some(peer) = self.leading.peers.get_mut(&from.id) {
                     peer.echo = nonce;
                 }
                 self.appended(now, from, round, success, index);
             }
-            Body::SnapshotTaken { round, of, offset } if self.leads(term) => {
+            MessageBody::SnapshotResponse { round, of, offset } if self.leads(term) => {
                 self.snapshot_taken(now, from, round, of, offset)
             }
-            Body::Succeed if term == self.term && self.role == Role::Follower && self.may_stand() => {
+            MessageBody::TimeoutNow if term == self.term && self.role == Role::Follower && self.may_stand() => {
                 self.election_began = now;
                 self.stand(now);
             }
-            Body::Left if term == self.term => self.left = self.leaving.is_some(),
+            MessageBody::LeaveApproved if term == self.term => self.left = self.leaving.is_some(),
             _ => {}
         }
     }
@@ -409,7 +433,7 @@
     fn answer(&mut self, leader: Voter, round: u64, success: bool, index: u64) {
         let nonce = self.rng.u32(1..);
         self.contact.answers(self.clock, nonce);
-        self.send(leader, Body::Appended { round, success, index, nonce });
+        self.send(leader, MessageBody::AppendResponse { round, success, index, nonce });
     }
 
     fn leads(&self, term: u64) -> bool {
--- a/brood/src/process/raft/contact.rs
+++ b/engine/src/process/consensus/quorum_contact.rs
@@ -13,7 +13,7 @@
 const KEPT: usize = 64;
 
 #[derive(Debug, Default)]
-pub(super) struct Contact {
+pub(super) struct QuorumContact {
     /// Whom the answers went to, and in which term.
     with: (VoterId, u64),
     /// Nonces of answers, and when each was given.
@@ -29,12 +29,12 @@
     }
 }
 
-impl Contact {
+impl QuorumContact {
     /// A leader's message of this round has come, with the nonce of an answer and the newest round that a
     /// majority answered. Gives a moment after which the leader was in contact, before it sent this message.
     pub fn heard(&mut self, with: (VoterId, u64), round: u64, echo: u32, confirmed: u64) -> Option<Instant> {
         if self.with != with {
-            *self = Contact { with, ..Contact::default() };
+            *self = QuorumContact { with, ..QuorumContact::default() };
         }
         if let Some((_, given)) = self.answers.iter().find(|(nonce, _)| *nonce == echo) {
             let given = *given;
--- a/brood/src/process/raft/replication.rs
+++ b/engine/src/process/consensus/replication.rs
@@ -1,11 +1,11 @@
 //! The leader's side of the log: rounds, batches, confirmation and commit; and the follower's append.
 
-use super::membership::Lap;
-use super::samples::keep;
-use super::snapshot::Sending;
-use super::{Body, Effect, Entry, Raft, Role, Write};
+use super::duration_samples::keep;
+use super::membership_change::CatchUpRound;
+use super::snapshot::SnapshotTransfer;
+use super::{Effect, Entry, MessageBody, Raft, Role, Write};
+use crate::version::control_state::{Command, ProposalId};
 use crate::version::electorate::{Voter, VoterId};
-use crate::version::ledger::{Command, Mark};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 
 /// What a leader knows of another daemon that it sends the log to.
 #[derive(Debug)]
-pub(super) struct Peer {
+pub(super) struct Progress {
     pub ip: Ipv4Addr,
     /// Sent the log since then, and the newest round at that time.
     pub since: Instant,
@@ -38,24 +38,24 @@
     pub echo: u32,
     pub heard: Option<Instant>,
     /// Entries on their way; no more until they are answered or seem lost.
-    pub flying: Option<Flying>,
+    pub inflight: Option<InflightAppend>,
     /// A snapshot on its way.
-    pub sending: Option<Sending>,
+    pub snapshot_transfer: Option<SnapshotTransfer>,
     /// How a newcomer catches up.
-    pub lap: Lap,
+    pub catch_up: CatchUpRound,
 }
 
 /// Entries on their way to a peer: the round of their message, the last of them, and since when.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Flying {
+pub(super) struct InflightAppend {
     round: u64,
     last: u64,
     since: Instant,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Leading {
-    pub peers: BTreeMap<VoterId, Peer>,
+pub(super) struct LeaderState {
+    pub peers: BTreeMap<VoterId, Progress>,
     rounds: VecDeque<(u64, Instant)>,
     pub round: u64,
     pub beat_due: Option<Instant>,
@@ -67,16 +67,16 @@
     pub since: Option<Instant>,
 }
 
-impl Leading {
+impl LeaderState {
     /// A lead that begins now, with its first entry at this index.
     pub fn new(now: Instant, first: u64) -> Self {
-        Leading { first, since: Some(now), ..Leading::default() }
+        LeaderState { first, since: Some(now), ..LeaderState::default() }
     }
 }
 
 impl Raft {
     pub(super) fn add_peer(&mut self, now: Instant, peer: Voter, next: u64) {
-        let fresh = Peer {
+        let fresh = Progress {
             ip: peer.ip,
             since: now,
             since_round: self.leading.round,
@@ -87,23 +87,23 @@
             round: 0,
             echo: 0,
             heard: None,
-            flying: None,
-            sending: None,
-            lap: Lap::new(now, next - 1),
+            inflight: None,
+            snapshot_transfer: None,
+            catch_up: CatchUpRound::new(now, next - 1),
         };
         self.leading.peers.insert(peer.id, fresh);
     }
 
     /// Takes a proposal and gives its index; only a leader does, and not while it hands its lead on or
     /// has too much that is not committed. One that is in the log undecided is not taken twice.
-    pub fn propose(&mut self, now: Instant, mark: Mark, command: Command) -> Option<u64> {
+    pub fn propose(&mut self, now: Instant, mark: ProposalId, command: Command) -> Option<u64> {
         self.clock = now;
         if self.role != Role::Leader {
             return None;
         }
         let open = || self.log.from(self.commit + 1);
         if mark.serial != 0
-            && let Some(at) = open().position(|e| e.mark == mark)
+            && let Some(at) = open().position(|e| e.proposal_id == mark)
         {
             return Some(self.commit + 1 + at as u64);
         }
@@ -113,9 +113,9 @@
         Some(self.append(now, mark, command))
     }
 
-    pub(super) fn append(&mut self, now: Instant, mark: Mark, command: Command) -> u64 {
-        let entry = Entry { term: self.term, mark, command };
-        let elects = matches!(entry.command, Command::Voters { .. });
+    pub(super) fn append(&mut self, now: Instant, mark: ProposalId, command: Command) -> u64 {
+        let entry = Entry { term: self.term, proposal_id: mark, command };
+        let elects = matches!(entry.command, Command::ChangeElectorate { .. });
         let index = self.log.push(entry.clone());
         if elects {
             for voter in self.others() {
@@ -146,7 +146,7 @@
         if self.leading.rounds.len() > ROUNDS {
             self.leading.rounds.pop_front();
         }
-        self.leading.beat_due = Some(now + self.parameters.t / 2);
+        self.leading.beat_due = Some(now + self.parameters.election_timeout / 2);
         let ids: Vec<VoterId> = self.leading.peers.keys().copied().collect();
         for id in ids {
             self.replicate(now, id, true);
@@ -161,21 +161,24 @@
         let (base_index, base_term) = self.log.base();
         let Some(peer) = self.leading.peers.get_mut(&id) else { return };
         let to = Voter { id, ip: peer.ip };
-        let patience = self.parameters.t * UNANSWERED;
-        if peer.flying.is_some_and(|f| now.duration_since(f.since) > patience) {
-            peer.flying = None;
+        let patience = self.parameters.election_timeout * UNANSWERED;
+        if peer.inflight.is_some_and(|f| now.duration_since(f.since) > patience) {
+            peer.inflight = None;
         }
         if peer.next <= base_index {
             if beat {
                 let (prev_index, prev_term, entries, echo) = (base_index, base_term, Vec::new(), peer.echo);
-                self.send(to, Body::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed });
+                self.send(
+                    to,
+                    MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed },
+                );
             }
             self.send_snapshot(now, to);
             return;
         }
         let prev_index = peer.next - 1;
         let mut entries = Vec::new();
-        if peer.flying.is_none() {
+        if peer.inflight.is_none() {
             let mut bytes = 0;
             for entry in self.log.from(peer.next).take(BATCH_ENTRIES) {
                 bytes += entry.size();
@@ -189,18 +192,18 @@
             return;
         }
         if !entries.is_empty() {
-            peer.flying = Some(Flying { round, last: prev_index + entries.len() as u64, since: now });
+            peer.inflight = Some(InflightAppend { round, last: prev_index + entries.len() as u64, since: now });
         }
         let (prev_term, echo) = (self.log.term_at(prev_index).unwrap_or(0), peer.echo);
-        self.send(to, Body::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed });
+        self.send(to, MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed });
     }
 
     /// Whether a majority has answered a round begun within the confirmation span, and an entry of
     /// this term is committed: only then does this daemon act as the leader towards others.
-    pub fn confirmed(&self, now: Instant) -> bool {
+    pub fn is_confirmed_leader(&self, now: Instant) -> bool {
         self.role == Role::Leader
             && self.commit >= self.leading.first
-            && self.leading.confirmed.is_some_and(|t| now < t + self.parameters.confirm)
+            && self.leading.confirmed.is_some_and(|t| now < t + self.parameters.confirmation_window)
     }
 
     fn confirm_round(&mut self, now: Instant) {
@@ -321,17 +324,17 @@
             peer.matched = peer.matched.max(index);
             peer.next = peer.next.max(peer.matched + 1);
             // Answers come in the order of questions, so a later round's says that the batch was lost.
-            if peer.flying.is_some_and(|f| f.last <= peer.matched || f.round < round) {
-                peer.flying = None;
+            if peer.inflight.is_some_and(|f| f.last <= peer.matched || f.round < round) {
+                peer.inflight = None;
             }
-            if peer.sending.as_ref().is_some_and(|s| s.of.index <= peer.matched) {
-                peer.sending = None;
+            if peer.snapshot_transfer.as_ref().is_some_and(|s| s.of.index <= peer.matched) {
+                peer.snapshot_transfer = None;
             }
-            peer.lap.reached(now, peer.matched, last);
-        } else if peer.sending.is_none() || peer.next > base {
-            peer.sending = None;
+            peer.catch_up.reached(now, peer.matched, last);
+        } else if peer.snapshot_transfer.is_none() || peer.next > base {
+            peer.snapshot_transfer = None;
             peer.next = (index + 1).min(peer.next.saturating_sub(1)).max(peer.matched + 1);
-            peer.flying = None;
+            peer.inflight = None;
         }
         let more = peer.next <= last;
         self.confirm_round(now);
--- a/brood/src/process/raft/snapshot.rs
+++ b/engine/src/process/consensus/snapshot.rs
@@ -5,9 +5,9 @@
 //! stopped, also under another leader that holds the same snapshot. The snapshot being sent is held until
 //! it is installed, whatever newer one there is by then, and the log keeps what follows it.
 
-use super::replication::Peer;
-use super::{Body, Effect, Raft, Snapshot, SnapshotId, Write};
-use crate::process::repair::digest;
+use super::replication::Progress;
+use super::{Effect, MessageBody, Raft, Snapshot, SnapshotId, Write};
+use crate::digest::digest;
 use crate::version::electorate::{Voter, VoterId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,12 +22,12 @@
 
 /// A snapshot as it travels.
 #[derive(Debug)]
-pub(super) struct Packed {
+pub(super) struct EncodedSnapshot {
     of: SnapshotId,
     bytes: Vec<u8>,
 }
 
-impl Packed {
+impl EncodedSnapshot {
     fn new(snapshot: &Snapshot) -> Option<Rc<Self>> {
         let bytes = bincode::serde::encode_to_vec(snapshot, bincode::config::standard()).ok()?;
         let of = SnapshotId {
@@ -36,15 +36,15 @@
             length: bytes.len() as u64,
             digest: digest(&bytes),
         };
-        Some(Rc::new(Packed { of, bytes }))
+        Some(Rc::new(EncodedSnapshot { of, bytes }))
     }
 }
 
 /// A snapshot on its way to a peer.
 #[derive(Debug)]
-pub(super) struct Sending {
+pub(super) struct SnapshotTransfer {
     pub of: SnapshotId,
-    whole: Rc<Packed>,
+    whole: Rc<EncodedSnapshot>,
     /// The peer has all before it.
     offset: u64,
     /// The piece at `offset` was sent then.
@@ -53,7 +53,7 @@
 
 /// A snapshot that is coming in.
 #[derive(Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     pub of: SnapshotId,
     bytes: Vec<u8>,
 }
@@ -61,7 +61,7 @@
 impl Raft {
     /// Sends the next piece, unless one is on its way.
     pub(super) fn send_snapshot(&mut self, now: Instant, to: Voter) {
-        let patience = self.parameters.t * 2;
+        let patience = self.parameters.election_timeout * 2;
         let round = self.leading.round;
         if self.leading.peers.get(&to.id).is_none_or(|p| p.heard.is_none()) {
             // Nobody is there to take it yet, as far as is known.
@@ -69,29 +69,33 @@
         }
         // One that is so old that the log does not follow on it any more is of no use.
         let (base, _) = self.log.base();
-        let of_use = |p: &Peer| p.sending.as_ref().is_some_and(|s| s.of.index >= base);
+        let of_use = |p: &Progress| p.snapshot_transfer.as_ref().is_some_and(|s| s.of.index >= base);
         if self.leading.peers.get(&to.id).is_some_and(|p| !of_use(p)) {
             let Some(whole) = self.packed() else { return };
             if let Some(peer) = self.leading.peers.get_mut(&to.id) {
-                peer.sending = Some(Sending { of: whole.of, whole, offset: 0, sent: None });
+                peer.snapshot_transfer = Some(SnapshotTransfer { of: whole.of, whole, offset: 0, sent: None });
             }
         }
-        let Some(sending) = self.leading.peers.get_mut(&to.id).and_then(|p| p.sending.as_mut()) else { return };
-        if sending.sent.is_some_and(|at| now.duration_since(at) < patience) {
+        let Some(snapshot_transfer) = self.leading.peers.get_mut(&to.id).and_then(|p| p.snapshot_transfer.as_mut())
+        else {
+            return;
+        };
+        if snapshot_transfer.sent.is_some_and(|at| now.duration_since(at) < patience) {
             return;
         }
-        sending.sent = Some(now);
-        let (of, offset) = (sending.of, sending.offset);
-        let from = (offset as usize).min(sending.whole.bytes.len());
-        let bytes = sending.whole.bytes[from..].iter().take(self.parameters.piece_bytes).copied().collect();
-        self.send(to, Body::InstallSnapshot { round, of, offset, bytes });
+        snapshot_transfer.sent = Some(now);
+        let (of, offset) = (snapshot_transfer.of, snapshot_transfer.offset);
+        let from = (offset as usize).min(snapshot_transfer.whole.bytes.len());
+        let bytes =
+            snapshot_transfer.whole.bytes[from..].iter().take(self.parameters.snapshot_chunk_bytes).copied().collect();
+        self.send(to, MessageBody::InstallSnapshot { round, of, offset, bytes });
     }
 
     /// The newest snapshot as it travels, made when somebody first wants it.
-    fn packed(&mut self) -> Option<Rc<Packed>> {
+    fn packed(&mut self) -> Option<Rc<EncodedSnapshot>> {
         let snapshot = &self.log.snapshot;
         if self.packed.as_ref().is_none_or(|p| p.of.index != snapshot.index) {
-            self.packed = Packed::new(snapshot);
+            self.packed = EncodedSnapshot::new(snapshot);
         }
         self.packed.clone()
     }
@@ -101,9 +105,9 @@
         let Some(peer) = self.leading.peers.get_mut(&from.id) else { return };
         peer.heard = Some(now);
         peer.round = peer.round.max(round);
-        if let Some(sending) = peer.sending.as_mut().filter(|s| s.of == of && s.offset != offset) {
-            sending.offset = offset.min(of.length);
-            sending.sent = None;
+        if let Some(snapshot_transfer) = peer.snapshot_transfer.as_mut().filter(|s| s.of == of && s.offset != offset) {
+            snapshot_transfer.offset = offset.min(of.length);
+            snapshot_transfer.sent = None;
             self.send_snapshot(now, from);
         }
     }
@@ -117,7 +121,7 @@
             if of.length > LENGTH_MAX {
                 return Some(0);
             }
-            self.incoming = Some(Incoming { of, bytes: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { of, bytes: Vec::new() });
         }
         let incoming = self.incoming.as_mut()?;
         if offset == incoming.bytes.len() as u64 && (bytes.len() as u64) <= of.length - offset {
@@ -150,7 +154,7 @@
         }
         (self.commit, self.applied) = (snapshot.index, snapshot.index);
         self.fresh_bytes = 0;
-        let trim = self.log.trim(self.parameters.tail_entries, None);
+        let trim = self.log.trim(self.parameters.retained_entries, None);
         self.write(Write { reset: !fits, trim, snapshot: Some(snapshot.clone()), ..Write::default() });
         self.out.push(Effect::Restore(snapshot));
     }
@@ -164,7 +168,7 @@
         self.log.compact(self.applied, state);
         self.packed = None;
         self.fresh_bytes = 0;
-        let trim = self.log.trim(self.parameters.tail_entries, self.wanted());
+        let trim = self.log.trim(self.parameters.retained_entries, self.wanted());
         let snapshot = Some(self.log.snapshot.clone());
         self.write(Write { snapshot, trim, ..Write::default() });
     }
@@ -172,7 +176,7 @@
     /// The entry after which the slowest live follower wants the log.
     fn wanted(&self) -> Option<u64> {
         let live = self.leading.peers.values().filter(|p| p.heard.is_some_and(|h| self.clock.duration_since(h) < LIVE));
-        live.map(|p| p.sending.as_ref().map_or(p.matched, |s| s.of.index)).min()
+        live.map(|p| p.snapshot_transfer.as_ref().map_or(p.matched, |s| s.of.index)).min()
     }
 
     /// Entries that are applied and not in the snapshot.
@@ -186,7 +190,7 @@
     }
 
     /// The very first electorate, fixed before the first election and written with the identity.
-    pub fn found(&mut self, voters: Vec<Voter>) {
+    pub fn bootstrap(&mut self, voters: Vec<Voter>) {
         if self.log.last_index() == 0 && self.log.snapshot.electorate.is_empty() {
             self.log.found(crate::version::electorate::Electorate::of(voters));
             let snapshot = Some(self.log.snapshot.clone());
@@ -196,7 +200,7 @@
 
     /// How much of a snapshot a peer has, in bytes: so much, of so much.
     pub fn snapshot_progress(&self, id: VoterId) -> Option<(u64, u64)> {
-        let sending = self.leading.peers.get(&id)?.sending.as_ref()?;
-        Some((sending.offset, sending.of.length))
+        let snapshot_transfer = self.leading.peers.get(&id)?.snapshot_transfer.as_ref()?;
+        Some((snapshot_transfer.offset, snapshot_transfer.of.length))
     }
 }
--- a/brood/src/process/raft/stored.rs
+++ b/engine/src/process/consensus/storage.rs
@@ -1,13 +1,13 @@
 //! What is on disk, and what a write changes there.
 
+use crate::version::control_state::{Command, ProposalId};
 use crate::version::electorate::{Electorate, VoterId};
-use crate::version::ledger::{Command, Mark};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
-    pub mark: Mark,
+    pub proposal_id: ProposalId,
     pub command: Command,
 }
 
@@ -32,7 +32,7 @@
 
 /// What is on disk. The log may reach back behind the snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct PersistentState {
     pub id: VoterId,
     pub term: u64,
     pub vote: Option<VoterId>,
@@ -45,7 +45,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    pub hard: Option<(u64, Option<VoterId>)>,
+    pub hard_state: Option<(u64, Option<VoterId>)>,
     /// Entries from this index on are dropped before `entries` are written.
     pub truncate: Option<u64>,
     pub snapshot: Option<Snapshot>,
@@ -56,14 +56,14 @@
     pub entries: Vec<(u64, Entry)>,
 }
 
-impl Stored {
+impl PersistentState {
     pub fn last_index(&self) -> u64 {
         self.base_index + self.log.len() as u64
     }
 
     /// What a write leaves on disk; false if it does not fit what is there.
-    pub fn take(&mut self, write: Write) -> bool {
-        if let Some((term, vote)) = write.hard {
+    pub fn apply(&mut self, write: Write) -> bool {
+        if let Some((term, vote)) = write.hard_state {
             (self.term, self.vote) = (term, vote);
         }
         if let Some(from) = write.truncate {
--- a/brood/src/process/royal/calls.rs
+++ b/engine/src/process/controller/http_api.rs
@@ -1,11 +1,11 @@
 //! Calls from outside: the operator's, and the instances' beats and ends.
 
 use super::proposals::{ANSWER_BY, ANSWER_CONFIG_BY, Purpose};
-use super::{Effect, Royal, Token};
-use crate::process::raft::Role;
-use crate::process::registry::Beat;
+use super::{Controller, Effect, Token};
+use crate::process::consensus::Role;
+use crate::process::instance_registry::InstanceHeartbeat;
 use crate::version::config;
-use crate::version::ledger::Command;
+use crate::version::control_state::Command;
 use std::time::Instant;
 
 #[derive(Debug, Clone)]
@@ -67,7 +67,7 @@
     digits.parse().ok().filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
 }
 
-impl Royal {
+impl Controller {
     pub fn request(&mut self, now: Instant, token: Token, request: Request) {
         if let Some(response) = self.answer(now, token, request) {
             self.pending.push_back(Effect::Reply(token, response));
@@ -76,7 +76,7 @@
     }
 
     fn answer(&mut self, now: Instant, token: Token, request: Request) -> Option<Response> {
-        if self.raft.leaves() && request.method != "GET" {
+        if self.raft.is_shutting_down() && request.method != "GET" {
             return Some(Response::error(503, "this daemon is about to end; ask another"));
         }
         let path = request.path.split('?').next().unwrap_or_default().to_owned();
@@ -87,7 +87,7 @@
             ("GET", "/api/status") => Some(Response::json(200, &self.status(now))),
             (method, path) => match path.strip_prefix("/api/instances/") {
                 Some(id) if !id.is_empty() && !id.contains('/') => match method {
-                    "PUT" => self.beat(now, token, id, &request.body),
+                    "PUT" => self.record_heartbeat(now, token, id, &request.body),
                     "DELETE" => self.instance_ends(now, token, id),
                     _ => Some(Response::error(405, "PUT or DELETE")),
                 },
@@ -114,7 +114,7 @@
         let by = now + ANSWER_CONFIG_BY;
         self.propose(
             now,
-            Command::Configure { if_match, raw: request.body, by: self.card.name.clone(), at: self.wall },
+            Command::Configure { if_match, raw: request.body, by: self.descriptor.name.clone(), at: self.wall },
             Purpose::Answer(token, by),
         );
         None
@@ -128,7 +128,7 @@
             self.raft.read(now, self.next_read);
             return None;
         }
-        let control = self.raft.leader().filter(|_| self.in_contact(now)).and_then(|l| self.control_of(l.ip));
+        let control = self.raft.leader().filter(|_| self.has_quorum_contact(now)).and_then(|l| self.control_of(l.ip));
         Some(match control {
             Some(address) => Response {
                 status: 307,
@@ -143,7 +143,7 @@
         let Some(Read { token, what, .. }) = self.reads.remove(&read) else { return };
         let response = match what {
             What::Config => self.newest(),
-            What::History => Response::json(200, &serde_json::json!({ "changes": self.ledger.history })),
+            What::History => Response::json(200, &serde_json::json!({ "changes": self.control_state.change_history })),
         };
         self.pending.push_back(Effect::Reply(token, response));
     }
@@ -161,7 +161,7 @@
     }
 
     fn newest(&self) -> Response {
-        match &self.ledger.config {
+        match &self.control_state.config {
             Some(version) => Response { status: 200, body: version.raw.clone(), location: None },
             None => Response::error(404, "no configuration yet"),
         }
@@ -169,39 +169,39 @@
 
     /// Out of contact what an instance says is noted and passed on, but not acknowledged: it goes on to another daemon, by
     /// which the leader hears of it.
-    fn beat(&mut self, now: Instant, token: Token, id: &str, body: &[u8]) -> Option<Response> {
-        let beat: Beat = match serde_json::from_slice(body) {
+    fn record_heartbeat(&mut self, now: Instant, token: Token, id: &str, body: &[u8]) -> Option<Response> {
+        let beat: InstanceHeartbeat = match serde_json::from_slice(body) {
             Ok(beat) => beat,
             Err(e) => return Some(Response::error(400, &format!("can't be read: {e}"))),
         };
         let draining = beat.status == "draining";
-        if let Some(fact) = self.registry.beat(now, id, &beat) {
-            self.spread(fact);
+        if let Some(update) = self.registry.record_heartbeat(now, id, &beat) {
+            self.spread(update);
             self.duty_due = now;
         }
         match draining {
             true => self.note_leaving(now, token, id),
-            false if self.in_contact(now) => Some(Response::ok()),
+            false if self.has_quorum_contact(now) => Some(Response::ok()),
             false => Some(Response::error(503, OUT_OF_CONTACT)),
         }
     }
 
     /// That an instance leaves is in the log before anybody hears so: whatever restarts, it stays known.
     fn note_leaving(&mut self, now: Instant, token: Token, id: &str) -> Option<Response> {
-        if self.ledger.drains.iter().any(|d| d == id) {
+        if self.control_state.draining_instances.iter().any(|d| d == id) {
             return Some(Response::ok());
         }
-        if self.raft.leader().is_none() && !self.in_contact(now) {
+        if self.raft.leader().is_none() && !self.has_quorum_contact(now) {
             return Some(Response::error(503, OUT_OF_CONTACT));
         }
         let by = now + ANSWER_BY;
-        self.propose(now, Command::Drain { id: id.to_owned() }, Purpose::Answer(token, by));
+        self.propose(now, Command::DrainInstance { id: id.to_owned() }, Purpose::Answer(token, by));
         None
     }
 
     fn instance_ends(&mut self, now: Instant, token: Token, id: &str) -> Option<Response> {
-        if let Some(fact) = self.registry.leave(now, id) {
-            self.spread(fact);
+        if let Some(update) = self.registry.mark_gone(now, id) {
+            self.spread(update);
             self.duty_due = now;
         }
         self.note_leaving(now, token, id)
--- a/brood/src/process/royal/mod.rs
+++ b/engine/src/process/controller/mod.rs
@@ -1,80 +1,78 @@
-//! The control plane's state machine: the log, the registry, the tree's root and the duties.
+//! The control plane's state machine: the log, the registry, the tree's root and the leadership.
 
-use super::dance::Dance;
-use super::duties::{Duties, Probed, Scene};
-use super::raft::{Parameters, Raft, Role, Stored, Write};
-use super::registry::{self, Registry};
-use super::relay::Relay;
-use super::repair::Instance;
-use super::settings::{Bounds, Settings};
-use super::views::{Card, Views};
+use super::consensus::{LEADER_CONFIRMATION, Parameters, PersistentState, Raft, Role, Write};
+use super::dissemination::anti_entropy::Instance;
+use super::dissemination::partial_view::{PartialView, PeerDescriptor};
+use super::dissemination::tree::DisseminationTree;
+use super::instance_registry::{self, InstanceRegistry};
+use super::leadership::{HealthCheckResult, LeaderContext, Leadership};
+use super::peer_message::PeerMessage;
+use super::settings::{Settings, TimingBounds};
+use crate::version::control_state::ControlState;
 use crate::version::electorate::VoterId;
-use crate::version::ledger::Ledger;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
 pub type Token = u64;
 
-mod calls;
-mod daemons;
-mod gate;
-mod log;
+mod applied_log;
+mod http_api;
+mod peer_messages;
 mod proposals;
+mod quorum_gate;
 mod status;
 
-use calls::Read;
-pub use calls::{Request, Response};
-use gate::Gate;
+use http_api::Read;
+pub use http_api::{Request, Response};
 use proposals::Proposal;
+use quorum_gate::QuorumGate;
 
 #[derive(Debug)]
 pub enum Effect {
     Write(u64, Write),
     /// To be let out once the write with this number is durable (0: at once).
-    Send(Ipv4Addr, Dance, u64),
+    Send(Ipv4Addr, PeerMessage, u64),
     Reply(Token, Response),
-    Probe {
+    HealthCheck {
         token: u64,
         instance: Instance,
         text: String,
     },
-    Call {
+    PlatformCall {
         token: u64,
         path: &'static str,
         fence: u64,
         body: String,
     },
-    Note(String),
+    Log(String),
     /// Something that threatens a rule: the ring is written out.
-    Alarm(String),
+    LogError(String),
 }
 
-/// Between queens: how often liveness and digests are exchanged.
+/// Between controllers: how often liveness and digests are exchanged.
 const GOSSIP: Duration = Duration::from_millis(1000);
 const DUTY_TICK: Duration = Duration::from_millis(25);
 const HELLO: Duration = Duration::from_millis(200);
 const JOIN: Duration = Duration::from_millis(300);
 /// Daemons that keep the log and were not heard for this long are forgotten, unless they are seeds or vote.
-const QUEEN_GONE: Duration = Duration::from_secs(60);
-/// A leader counts as confirmed this long after a round began that a majority answered.
-pub const CONFIRM: Duration = Duration::from_millis(400);
+const CONTROLLER_FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
 /// Timers armed for a tick are never nearer than this.
 const BREATH: Duration = Duration::from_millis(2);
 
-pub struct Royal {
-    card: Card,
+pub struct Controller {
+    descriptor: PeerDescriptor,
     seeds: Vec<Ipv4Addr>,
     in_quorum: bool,
     bootstrap: bool,
     raft: Raft,
-    gate: Gate,
-    ledger: Ledger,
-    registry: Registry,
-    relay: Relay,
-    duties: Duties,
+    gate: QuorumGate,
+    control_state: ControlState,
+    registry: InstanceRegistry,
+    relay: DisseminationTree,
+    leadership: Leadership,
     /// Other daemons that keep the log.
-    queens: BTreeMap<Ipv4Addr, (Card, Instant)>,
+    controllers: BTreeMap<Ipv4Addr, (PeerDescriptor, Instant)>,
     founders: BTreeMap<Ipv4Addr, VoterId>,
     proposer: u64,
     serial: u64,
@@ -94,9 +92,9 @@
     pending: VecDeque<Effect>,
 }
 
-impl Royal {
-    pub fn new(now: Instant, settings: &Settings, stored: Stored, mut rng: fastrand::Rng) -> Self {
-        let card = Card {
+impl Controller {
+    pub fn new(now: Instant, settings: &Settings, stored: PersistentState, mut rng: fastrand::Rng) -> Self {
+        let descriptor = PeerDescriptor {
             name: settings.node_name.clone(),
             ip: settings.ip,
             zone: settings.zone.clone(),
@@ -105,26 +103,31 @@
         };
         let seeds: Vec<Ipv4Addr> = settings.seed_nodes.iter().map(|s| *s.ip()).collect();
         let t = Duration::from_millis(settings.election.t_ms);
-        let parameters = Parameters::new(t, CONFIRM, settings.tolerance.machines);
+        let parameters = Parameters::new(t, LEADER_CONFIRMATION, settings.tolerance.machines);
         let proposer = rng.u64(1..);
         let raft = Raft::new(now, settings.ip, parameters, stored, rng.fork());
-        let relay =
-            Relay::new(now, Views::new(card.clone(), rng.fork()), seeds.clone(), true, settings.limits.link_mbps);
+        let relay = DisseminationTree::new(
+            now,
+            PartialView::new(descriptor.clone(), rng.fork()),
+            seeds.clone(),
+            true,
+            settings.limits.link_mbps,
+        );
         let beat = Duration::from_millis(settings.beat_ms);
-        let bounds: Bounds = settings.timing_bounds.clone();
-        let duties = Duties::new(now, &settings.node_name, bounds, beat, settings.platform.clone());
-        let mut royal = Royal {
-            card,
+        let bounds: TimingBounds = settings.timing_bounds.clone();
+        let leadership = Leadership::new(now, &settings.node_name, bounds, beat, settings.platform.clone());
+        let mut controller = Controller {
+            descriptor,
             seeds,
             in_quorum: settings.in_quorum,
             bootstrap: settings.bootstrap,
             raft,
-            gate: Gate::new(t),
-            ledger: Ledger::default(),
-            registry: Registry::default(),
+            gate: QuorumGate::new(t),
+            control_state: ControlState::default(),
+            registry: InstanceRegistry::default(),
             relay,
-            duties,
-            queens: BTreeMap::new(),
+            leadership,
+            controllers: BTreeMap::new(),
             founders: BTreeMap::new(),
             proposer,
             serial: 0,
@@ -141,47 +144,47 @@
             told: None,
             pending: VecDeque::new(),
         };
-        royal.turn(now);
-        royal
+        controller.turn(now);
+        controller
     }
 
     pub fn effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.pending).into()
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn control_state(&self) -> &ControlState {
+        &self.control_state
     }
 
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.duties.set_bounds(bounds);
+    pub fn set_bounds(&mut self, bounds: TimingBounds) {
+        self.leadership.set_bounds(bounds);
     }
 
-    fn send(&mut self, to: Ipv4Addr, dance: Dance) {
-        self.pending.push_back(Effect::Send(to, dance, 0));
+    fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
+        self.pending.push_back(Effect::Send(to, message, 0));
     }
 
     /// Every other daemon that may keep the log: the seeds are only the first of them.
     fn others(&self) -> BTreeSet<Ipv4Addr> {
         let voters = self.raft.voters().into_iter().map(|v| v.ip);
         let mut all: BTreeSet<Ipv4Addr> =
-            self.seeds.iter().copied().chain(self.queens.keys().copied()).chain(voters).collect();
-        all.remove(&self.card.ip);
+            self.seeds.iter().copied().chain(self.controllers.keys().copied()).chain(voters).collect();
+        all.remove(&self.descriptor.ip);
         all
     }
 
     pub fn durable(&mut self, now: Instant, write: u64) {
-        self.raft.durable(now, write);
+        self.raft.on_write_durable(now, write);
         self.turn(now);
     }
 
     /// This daemon is about to end.
     pub fn leave(&mut self, now: Instant) {
-        self.raft.leave(now);
+        self.raft.begin_shutdown(now);
         self.turn(now);
     }
 
@@ -190,19 +193,19 @@
         self.raft.may_end()
     }
 
-    pub fn probed(&mut self, now: Instant, token: u64, result: Probed) {
-        self.duties.probed(now, token, result);
+    pub fn health_check_finished(&mut self, now: Instant, token: u64, result: HealthCheckResult) {
+        self.leadership.health_check_finished(now, token, result);
         self.duty_due = now;
     }
 
-    pub fn called(&mut self, now: Instant, token: u64, status: Option<u16>) {
-        self.duties.called(now, token, status);
+    pub fn platform_call_finished(&mut self, now: Instant, token: u64, status: Option<u16>) {
+        self.leadership.platform_call_finished(now, token, status);
         self.duty_due = now;
     }
 
     /// Whether a call to the platform may go out at this moment.
     pub fn may_call(&self, now: Instant, fence: u64) -> bool {
-        self.raft.confirmed(now) && self.raft.term() == fence
+        self.raft.is_confirmed_leader(now) && self.raft.term() == fence
     }
 
     pub fn next_due(&self) -> Instant {
@@ -234,13 +237,13 @@
             for to in self.others() {
                 self.send(to, hello.clone());
             }
-            self.queens.retain(|_, (_, heard)| now.duration_since(*heard) < QUEEN_GONE);
+            self.controllers.retain(|_, (_, heard)| now.duration_since(*heard) < CONTROLLER_FORGOTTEN_AFTER);
             self.found();
         }
         if now >= self.join_due {
             self.join_due = now + JOIN;
             let outside = !self.raft.is_voter()
-                && (!self.bootstrap || !self.raft.voters().is_empty() || !self.seeds.contains(&self.card.ip));
+                && (!self.bootstrap || !self.raft.voters().is_empty() || !self.seeds.contains(&self.descriptor.ip));
             // A voter that finds no leader for so long may have been retired while it was away.
             let lost = self.raft.leader().is_none() && !self.raft.voters().is_empty();
             if outside || lost {
@@ -251,29 +254,29 @@
         }
         if now >= self.gossip_due {
             self.gossip_due = now + GOSSIP;
-            let beats = self.registry.recent(now, GOSSIP + GOSSIP / 2);
-            let digests = self.relay.copies.digests();
+            let beats = self.registry.recent_heartbeats(now, GOSSIP + GOSSIP / 2);
+            let digests = self.relay.store.digests();
             for to in self.others() {
-                self.send(to, Dance::Beats { beats: beats.clone(), digests });
+                self.send(to, PeerMessage::InstanceHeartbeats { beats: beats.clone(), digests });
             }
-            for id in self.registry.forget(now) {
-                self.relay.copies.drop_key(&registry::key(&id));
+            for id in self.registry.remove_expired(now) {
+                self.relay.store.remove(&instance_registry::key(&id));
             }
         }
         self.push_proposals(now);
         self.expire_reads(now);
         self.relay.tick(now);
-        if self.raft.confirmed(now) && now >= self.duty_due {
+        if self.raft.is_confirmed_leader(now) && now >= self.duty_due {
             self.duty_due = now + DUTY_TICK;
-            let scene = Scene {
+            let context = LeaderContext {
                 now,
                 term: self.raft.term(),
-                ledger: &self.ledger,
+                control_state: &self.control_state,
                 registry: &self.registry,
                 wall,
-                confirm: CONFIRM,
+                confirm: LEADER_CONFIRMATION,
             };
-            self.duties.drive(&scene);
+            self.leadership.run_once(&context);
         } else if now >= self.duty_due {
             self.duty_due = now + DUTY_TICK;
         }
@@ -281,7 +284,7 @@
     }
 
     /// The earliest moment worth waking for.
-    pub fn wake(&self, now: Instant) -> Instant {
+    pub fn next_wakeup(&self, now: Instant) -> Instant {
         self.next_due().max(now + BREATH)
     }
 }
--- a/brood/src/process/royal/proposals.rs
+++ b/engine/src/process/controller/proposals.rs
@@ -1,9 +1,9 @@
 //! Proposals: on their way to the leader, until the log has decided them.
 
-use super::{Effect, Response, Royal, Token};
-use crate::process::dance::Dance;
-use crate::process::raft::Role;
-use crate::version::ledger::{Command, Mark, Outcome};
+use super::{Controller, Effect, Response, Token};
+use crate::process::consensus::Role;
+use crate::process::peer_message::PeerMessage;
+use crate::version::control_state::{Command, Outcome, ProposalId};
 use std::time::{Duration, Instant};
 
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
 pub(super) const ANSWER_BY: Duration = Duration::from_millis(850);
 pub(super) const ANSWER_CONFIG_BY: Duration = Duration::from_millis(4000);
 
-impl Royal {
+impl Controller {
     pub(super) fn propose(&mut self, now: Instant, command: Command, purpose: Purpose) {
         self.serial += 1;
         let proposal = Proposal { command, purpose, heard: false, waits: false, due: now };
@@ -45,7 +45,7 @@
     pub(super) fn push_proposals(&mut self, now: Instant) {
         let due: Vec<u64> = self.proposals.iter().filter(|(_, p)| now >= p.due).map(|(s, _)| *s).collect();
         for serial in due {
-            let mark = Mark { proposer: self.proposer, serial };
+            let mark = ProposalId { proposer: self.proposer, serial };
             let Some(proposal) = self.proposals.get_mut(&serial) else { continue };
             if let Purpose::Answer(token, by) = proposal.purpose
                 && now >= by
@@ -55,8 +55,7 @@
                 continue;
             }
             proposal.due = now + HEARD_TIMER;
-            proposal.waits =
-                matches!(&proposal.command, Command::Configure { if_match, .. } if *if_match > self.ledger.revision());
+            proposal.waits = matches!(&proposal.command, Command::Configure { if_match, .. } if *if_match > self.control_state.revision());
             if proposal.waits {
                 continue;
             }
@@ -66,11 +65,11 @@
                     proposal.due = now + DECIDED_TIMER;
                 }
             } else if matches!(proposal.purpose, Purpose::Duty) {
-                // Duties belong to a lead that is over.
+                // Leadership belong to a lead that is over.
                 self.proposals.remove(&serial);
             } else if let Some(leader) = self.raft.leader() {
                 proposal.heard = false;
-                self.send(leader.ip, Dance::Propose { mark, command });
+                self.send(leader.ip, PeerMessage::Propose { mark, command });
             }
         }
     }
@@ -80,11 +79,11 @@
         self.proposals.values_mut().filter(|p| p.waits).for_each(|p| p.due = now);
     }
 
-    pub(super) fn decided(&mut self, _now: Instant, mark: Mark, outcome: &Outcome) {
+    pub(super) fn decided(&mut self, _now: Instant, mark: ProposalId, outcome: &Outcome) {
         let Some(proposal) = self.proposals.remove(&mark.serial) else { return };
         if let Purpose::Answer(token, _) = proposal.purpose {
             let response = match outcome {
-                Outcome::Done => Response::ok(),
+                Outcome::Accepted => Response::ok(),
                 Outcome::Conflict { current } => Response::json(
                     412,
                     &serde_json::json!({"error": "another version is in place", "revision": current}),
--- a/brood/src/process/royal/status.rs
+++ b/engine/src/process/controller/status.rs
@@ -1,10 +1,10 @@
 //! What this daemon tells operators of itself.
 
-use super::Royal;
+use super::Controller;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-impl Royal {
+impl Controller {
     pub fn status(&self, now: Instant) -> serde_json::Value {
         let instances: Vec<_> = self
             .registry
@@ -17,7 +17,7 @@
             })
             .collect();
         let epochs: BTreeMap<_, _> = self
-            .ledger
+            .control_state
             .epochs
             .iter()
             .map(|(s, e)| {
@@ -29,23 +29,23 @@
             .collect();
         let leader = self.raft.leader();
         serde_json::json!({
-            "node": self.card.name,
+            "node": self.descriptor.name,
             "role": format!("{:?}", self.raft.role()).to_lowercase(),
             "term": self.raft.term(),
             "leader": leader.map(|l| l.ip.to_string()),
             "leader-control": leader.and_then(|l| self.control_of(l.ip)).map(|a| a.to_string()),
-            "in-contact": self.in_contact(now),
-            "contact-age-ms": self.raft.as_of().map(|at| now.duration_since(at).as_millis() as u64),
+            "in-contact": self.has_quorum_contact(now),
+            "contact-age-ms": self.raft.last_quorum_contact().map(|at| now.duration_since(at).as_millis() as u64),
             "commit": self.raft.commit(),
             "last": self.raft.last_index(),
             "voters": self.raft.voters().iter().map(|v| v.ip.to_string()).collect::<Vec<_>>(),
-            "config-revision": self.ledger.revision(),
-            "daemons-seen": self.relay.views.cards().iter().map(|c| c.name.clone()).collect::<Vec<_>>(),
+            "config-revision": self.control_state.revision(),
+            "daemons-seen": self.relay.partial_view.descriptors().iter().map(|c| c.name.clone()).collect::<Vec<_>>(),
             "instances": instances,
             "primaries": epochs,
-            "drains": self.ledger.drains.len(),
-            "shares": self.ledger.parts,
-            "duties": self.duties.describe(now),
+            "drains": self.control_state.draining_instances.len(),
+            "shares": self.control_state.pooler_shares,
+            "leadership": self.leadership.describe(now),
             "candidate-timeout-ms": self.raft.candidate_timeout().as_millis() as u64,
         })
     }
--- a/brood/src/process/carry.rs
+++ b/engine/src/process/forwarding/mod.rs
@@ -1,30 +1,30 @@
-//! Carrying sessions: where a service's connections are too few for every forager to hold some, a few
-//! foragers hold them all, and the others pass their clients' sessions on to those.
+//! Carrying sessions: where a service's connections are too few for every pooler to hold some, a few
+//! poolers hold them all, and the others pass their clients' sessions on to those.
 //!
 //! Who carries is reckoned alike everywhere, from the shares in the log. `docs/scale.md` tells what was
 //! weighed.
 
-use super::repair::digest;
-use crate::connection::parting::{Gait, Phase, Standing};
-use crate::request::verdict::Verdict;
+use crate::connection::draining::{ClientActivity, DrainPhase, SessionState};
+use crate::digest::digest;
+use crate::request::error::RequestError;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
-/// A forager that counts for the shares.
+/// A pooler that counts for the shares.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct PoolerShare {
     pub ip: Ipv4Addr,
     pub zone: String,
 }
 
 /// By name.
-pub type Parts = BTreeMap<String, Part>;
+pub type PoolerShares = BTreeMap<String, PoolerShare>;
 
 /// Connections of an instance that are kept free of clients' work, for the system's own calls.
 const RESERVED: u32 = 4;
-/// With fewer connections each than this, foragers do not hold their own.
+/// With fewer connections each than this, poolers do not hold their own.
 const DIRECT_MIN: u32 = 6;
 /// A service has a carrier for each zone, as far as each gets this many connections to an instance, and
 /// two in any case.
@@ -39,28 +39,28 @@
 
 /// Who holds connections to a service's instances, and how many of them.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Holding {
-    /// The foragers that carry it; none where all hold connections of their own.
-    pub carriers: Vec<(String, Part)>,
+pub struct ConnectionHolding {
+    /// The poolers that carry it; none where all hold connections of their own.
+    pub carriers: Vec<(String, PoolerShare)>,
     /// Connections to one instance that this daemon may hold.
     pub share: usize,
 }
 
 /// Who carries what, reckoned once for the shares and services in force.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct CarrierAssignment {
     me: String,
-    holdings: BTreeMap<String, Holding>,
+    holdings: BTreeMap<String, ConnectionHolding>,
 }
 
-/// How many services a forager carries before another is taken, in terms of an even spread.
+/// How many services a pooler carries before another is taken, in terms of an even spread.
 const SLACK: f64 = 1.25;
 
-impl Roster {
+impl CarrierAssignment {
     /// `services` are their names and caps, in an order that all daemons share. A service is carried by
-    /// the foragers that a hash of their name and the service's ranks first, of different zones as far as
+    /// the poolers that a hash of their name and the service's ranks first, of different zones as far as
     /// that goes, but none carries many more services than the others.
-    pub fn new<'a>(me: &str, parts: &Parts, services: impl IntoIterator<Item = (&'a str, u32)>) -> Self {
+    pub fn new<'a>(me: &str, parts: &PoolerShares, services: impl IntoIterator<Item = (&'a str, u32)>) -> Self {
         let zones = parts.values().map(|p| &p.zone).collect::<BTreeSet<_>>().len();
         let counted = |cap: u32| {
             let usable = cap.saturating_sub(RESERVED).max(1);
@@ -89,12 +89,12 @@
                 // the few there are.
                 1
             };
-            holdings.insert(service.to_owned(), Holding { carriers, share });
+            holdings.insert(service.to_owned(), ConnectionHolding { carriers, share });
         }
-        Roster { me: me.to_owned(), holdings }
+        CarrierAssignment { me: me.to_owned(), holdings }
     }
 
-    pub fn holding(&self, service: &str) -> Option<&Holding> {
+    pub fn holding(&self, service: &str) -> Option<&ConnectionHolding> {
         self.holdings.get(service)
     }
 
@@ -120,18 +120,19 @@
 }
 
 fn choose<'a>(
-    parts: &'a Parts,
+    parts: &'a PoolerShares,
     service: &str,
     count: usize,
     most: usize,
     load: &mut HashMap<&'a str, usize>,
-) -> Vec<(String, Part)> {
+) -> Vec<(String, PoolerShare)> {
     if count == 0 {
         return Vec::new();
     }
-    let mut all: Vec<(u64, &'a String, &'a Part)> = parts.iter().map(|(n, p)| (rank(&[service, n]), n, p)).collect();
+    let mut all: Vec<(u64, &'a String, &'a PoolerShare)> =
+        parts.iter().map(|(n, p)| (rank(&[service, n]), n, p)).collect();
     all.sort_unstable_by_key(|(rank, ..)| std::cmp::Reverse(*rank));
-    let mut chosen: Vec<(&'a String, &'a Part)> = Vec::with_capacity(count);
+    let mut chosen: Vec<(&'a String, &'a PoolerShare)> = Vec::with_capacity(count);
     for (fresh, most) in [(true, most), (false, most), (false, usize::MAX)] {
         for (_, name, part) in &all {
             let known = chosen.iter().any(|(n, _)| n == name);
@@ -146,10 +147,10 @@
     chosen.into_iter().map(|(n, p)| (n.clone(), p.clone())).collect()
 }
 
-/// The word by which foragers tell each other, on a carried session, which version they go by.
+/// The word by which poolers tell each other, on a carried session, which version they go by.
 pub const REVISION: &str = "REV";
-/// By it a carrier asks the forager that its session came by to close it.
-pub const PART_LINE: &str = "PART\r\n";
+/// By it a carrier asks the pooler that its session came by to close it.
+pub const CLOSE_REQUEST_LINE: &str = "PART\r\n";
 /// Longest line of ours, with its end.
 const OURS_MAX: usize = 32;
 
@@ -157,10 +158,10 @@
     format!("{REVISION} {revision}\r\n")
 }
 
-/// A session that another forager serves: bytes go through, and just enough of the lines is looked at
+/// A session that another pooler serves: bytes go through, and just enough of the lines is looked at
 /// to know whether it is at rest and which version it was served by.
 #[derive(Debug, Clone)]
-pub struct Splice {
+pub struct ForwardedSession {
     /// The beginning of the client's line that is not whole yet, and whether any of it went on.
     up: Vec<u8>,
     up_partial: bool,
@@ -173,7 +174,7 @@
     error: bool,
     /// The last statement was answered without an instance.
     own: bool,
-    pub gait: Gait,
+    pub activity: ClientActivity,
     /// The carrier wants it closed.
     parting: bool,
     /// There is no carrier any more, and the client was told.
@@ -182,9 +183,9 @@
     told: u64,
 }
 
-impl Splice {
+impl ForwardedSession {
     pub fn new(revision: u64) -> Self {
-        Splice {
+        ForwardedSession {
             up: Vec::new(),
             up_partial: false,
             down: Vec::new(),
@@ -193,7 +194,7 @@
             state: b'I',
             error: false,
             own: false,
-            gait: Gait::default(),
+            activity: ClientActivity::default(),
             parting: false,
             severed: false,
             told: revision,
@@ -204,7 +205,7 @@
     /// this daemon goes by or has seen at work.
     pub fn client_said(&mut self, now: Instant, bytes: &[u8], revision: u64) -> Vec<u8> {
         let mut out = Vec::with_capacity(bytes.len() + OURS_MAX);
-        self.gait.stirs(now);
+        self.activity.stirs(now);
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
             if !self.up_partial {
                 if revision > self.told {
@@ -221,7 +222,7 @@
                 let question = self.up.starts_with(b"QUERY ") || self.up.starts_with(b"CONNECT");
                 self.outstanding += u64::from(question);
                 if self.up.starts_with(b"QUERY ") {
-                    self.gait.asked(now);
+                    self.activity.asked(now);
                 }
             }
         }
@@ -249,16 +250,16 @@
                 seen = seen.max(Some(told));
                 continue;
             }
-            if line == PART_LINE.as_bytes() {
+            if line == CLOSE_REQUEST_LINE.as_bytes() {
                 self.parting = true;
-                part = self.standing() != Standing::Asked;
+                part = self.session_state() != SessionState::Busy;
                 continue;
             }
             if let Some(rest) = line.strip_prefix(b"READY ") {
                 self.outstanding = self.outstanding.saturating_sub(1);
                 let before = std::mem::replace(&mut self.state, rest.first().copied().unwrap_or(b'I'));
                 // In a transaction what the carrier answers by itself is its beginning or its end.
-                self.gait.answered(self.own && before == b'I');
+                self.activity.answered(self.own && before == b'I');
             }
             self.own = line.starts_with(b"DONE - ") || line.starts_with(b"DONE -\r");
             self.error = line.starts_with(b"ERROR ");
@@ -268,27 +269,27 @@
         Heard { down: out, seen, part }
     }
 
-    fn standing(&self) -> Standing {
+    fn session_state(&self) -> SessionState {
         match self.state {
-            _ if self.outstanding > 0 || self.up_partial => Standing::Asked,
-            b'I' => Standing::Rest,
-            _ => Standing::Open,
+            _ if self.outstanding > 0 || self.up_partial => SessionState::Busy,
+            b'I' => SessionState::Idle,
+            _ => SessionState::InTransaction,
         }
     }
 
     /// Whether the client's session may be closed, if nothing unread has come; `answered`: it has just
     /// heard from the carrier.
-    pub fn may_close(&self, now: Instant, phase: Phase, answered: bool) -> bool {
-        let phase = if self.parting || self.severed { phase.max(Phase::Leaves) } else { phase };
-        let standing = self.standing();
+    pub fn may_close(&self, now: Instant, phase: DrainPhase, answered: bool) -> bool {
+        let phase = if self.parting || self.severed { phase.max(DrainPhase::Draining) } else { phase };
+        let session_state = self.session_state();
         // A transaction that has failed has had its answer; what is left is its end.
-        let failed = answered && self.state == b'E' && standing == Standing::Open;
-        phase > Phase::Serves && (failed || self.gait.may_close(now, standing, phase, answered))
+        let failed = answered && self.state == b'E' && session_state == SessionState::InTransaction;
+        phase > DrainPhase::Serving && (failed || self.activity.may_close(now, session_state, phase, answered))
     }
 
     /// Whether its client has a transaction open, and asks nothing.
     pub fn is_open(&self) -> bool {
-        self.standing() == Standing::Open
+        self.session_state() == SessionState::InTransaction
     }
 
     pub fn is_severed(&self) -> bool {
@@ -307,28 +308,28 @@
         if self.state != b'I' {
             self.state = b'E';
         }
-        self.gait.answered(false);
-        self.last_word(&Verdict::unsure("the daemon that served this session is gone"))
+        self.activity.answered(false);
+        self.last_word(&RequestError::unsure("the daemon that served this session is gone"))
     }
 
-    fn last_word(&self, verdict: &Verdict) -> String {
+    fn last_word(&self, error: &RequestError) -> String {
         let state = if self.state == b'I' { 'I' } else { 'E' };
-        format!("{}READY {state} -\r\n", verdict.line())
+        format!("{}READY {state} -\r\n", error.line())
     }
 
     /// What a client is told that has asked after all: no carrier has had the whole question.
     pub fn refuse(&mut self, now: Instant, bytes: &[u8]) -> String {
         self.client_said(now, bytes, self.told);
-        let verdict = match self.state {
-            b'I' => Verdict::busy("the daemon that served this session is gone; come back at once"),
-            _ => Verdict::aborted("the daemon that served this session is gone; the transaction is rolled back"),
+        let error = match self.state {
+            b'I' => RequestError::busy("the daemon that served this session is gone; come back at once"),
+            _ => RequestError::aborted("the daemon that served this session is gone; the transaction is rolled back"),
         };
         let count = std::mem::take(&mut self.outstanding);
         if count > 0 && self.state != b'I' {
             self.state = b'E';
         }
-        self.gait.answered(false);
-        (0..count).map(|_| self.last_word(&verdict)).collect()
+        self.activity.answered(false);
+        (0..count).map(|_| self.last_word(&error)).collect()
     }
 }
 
@@ -347,17 +348,17 @@
 mod tests {
     use super::*;
 
-    fn parts(n: u8) -> Parts {
+    fn parts(n: u8) -> PoolerShares {
         (0..n)
             .map(|i| {
-                let part = Part { ip: Ipv4Addr::new(10, 0, 0, i), zone: format!("z{}", i % 4) };
+                let part = PoolerShare { ip: Ipv4Addr::new(10, 0, 0, i), zone: format!("z{}", i % 4) };
                 (format!("edge-{i}"), part)
             })
             .collect()
     }
 
-    fn roster(me: &str, parts: &Parts, services: &[(String, u32)]) -> Roster {
-        Roster::new(me, parts, services.iter().map(|(name, cap)| (name.as_str(), *cap)))
+    fn assignment(me: &str, parts: &PoolerShares, services: &[(String, u32)]) -> CarrierAssignment {
+        CarrierAssignment::new(me, parts, services.iter().map(|(name, cap)| (name.as_str(), *cap)))
     }
 
     fn services(n: usize, cap: u32) -> Vec<(String, u32)> {
@@ -366,26 +367,27 @@
 
     #[test]
     fn few_connections_are_held_by_few_and_never_more_than_the_cap() {
-        let small = roster("edge-1", &parts(7), &services(1, 60));
+        let small = assignment("edge-1", &parts(7), &services(1, 60));
         assert!(small.homes("s0", "t").is_empty(), "enough for everybody");
         assert_eq!(small.holding("s0").map(|h| h.share), Some(8));
         let (all, services) = (parts(86), services(30, 59));
-        let view = roster("out", &all, &services);
+        let view = assignment("out", &all, &services);
         let mut loads: BTreeMap<String, usize> = BTreeMap::new();
         for (service, _) in &services {
             let carriers = &view.holding(service).expect("known").carriers;
             let zones: BTreeSet<_> = carriers.iter().map(|(_, p)| &p.zone).collect();
             assert_eq!((carriers.len(), zones.len()), (3, 3), "spread over zones");
             carriers.iter().for_each(|(n, _)| *loads.entry(n.clone()).or_default() += 1);
-            let share = |(n, _): &(String, Part)| roster(n, &all, &services).holding(service).map_or(0, |h| h.share);
+            let share =
+                |(n, _): &(String, PoolerShare)| assignment(n, &all, &services).holding(service).map_or(0, |h| h.share);
             let total: usize = carriers.iter().map(share).sum();
             assert!(total > 45 && total <= 59 - RESERVED as usize, "{total} in all");
         }
-        assert!(loads.values().all(|n| *n <= 2), "no forager carries many: {loads:?}");
-        // One more or fewer forager changes little.
+        assert!(loads.values().all(|n| *n <= 2), "no pooler carries many: {loads:?}");
+        // One more or fewer pooler changes little.
         let mut fewer = all.clone();
         fewer.remove("edge-40");
-        let other = roster("out", &fewer, &services);
+        let other = assignment("out", &fewer, &services);
         let same = services.iter().filter(|(s, _)| view.holding(s) == other.holding(s)).count();
         assert!(same >= 24, "{same} of 30 stay");
         let spread: BTreeSet<Ipv4Addr> = (0..40).map(|t| view.homes("s0", &format!("t{t}"))[0]).collect();
@@ -393,25 +395,25 @@
     }
 
     #[test]
-    fn a_splice_passes_everything_on_but_the_foragers_own_words() {
+    fn a_forwarded_session_passes_everything_on_but_the_poolers_own_lines() {
         let now = Instant::now();
-        let mut splice = Splice::new(3);
-        let up = splice.client_said(now, b"QUERY a READ x\r\nQUE", 3);
+        let mut session = ForwardedSession::new(3);
+        let up = session.client_said(now, b"QUERY a READ x\r\nQUE", 3);
         assert_eq!(up, b"QUERY a READ x\r\nQUE");
-        assert_eq!(splice.client_said(now, b"RY b READ REV 9\r\n", 5), b"RY b READ REV 9\r\n", "not within a line");
-        assert_eq!(splice.client_said(now, b"QUERY c COMMIT\r\n", 5), b"REV 5\r\nQUERY c COMMIT\r\n");
-        assert_eq!(splice.standing(), Standing::Asked);
+        assert_eq!(session.client_said(now, b"RY b READ REV 9\r\n", 5), b"RY b READ REV 9\r\n", "not within a line");
+        assert_eq!(session.client_said(now, b"QUERY c COMMIT\r\n", 5), b"REV 5\r\nQUERY c COMMIT\r\n");
+        assert_eq!(session.session_state(), SessionState::Busy);
         let answer = b"REV 6\r\nROW REV 7\r\nDONE 1\r\nREADY I 1.2\r\nROW long";
         let mut down = Vec::new();
         let mut seen = None;
         for byte in answer {
-            let heard = splice.carrier_said(&[*byte]);
+            let heard = session.carrier_said(&[*byte]);
             down.extend(heard.down);
             seen = seen.max(heard.seen);
         }
         assert_eq!(seen, Some(6));
-        down.extend(splice.carrier_said(&[b'x'; 40]).down);
-        down.extend(splice.carrier_said(b"\r\nDONE 2\r\nREADY T 1.2\r\nERROR BUSY -\r\nREADY T 1.2\r\n").down);
+        down.extend(session.carrier_said(&[b'x'; 40]).down);
+        down.extend(session.carrier_said(b"\r\nDONE 2\r\nREADY T 1.2\r\nERROR BUSY -\r\nREADY T 1.2\r\n").down);
         let told = [
             &b"ROW REV 7\r\nDONE 1\r\nREADY I 1.2\r\nROW long"[..],
             &[b'x'; 40],
@@ -419,36 +421,40 @@
         ]
         .concat();
         assert_eq!(down, told);
-        assert_eq!(splice.standing(), Standing::Open, "three answers came, and a transaction is open");
-        let mut severed = splice.clone();
+        assert_eq!(
+            session.session_state(),
+            SessionState::InTransaction,
+            "three answers came, and a transaction is open"
+        );
+        let mut severed = session.clone();
         assert_eq!(severed.sever(), "", "nothing is owed yet");
-        assert!(!severed.may_close(now, Phase::Cuts, false), "its client is to be told when it goes on");
+        assert!(!severed.may_close(now, DrainPhase::RollingBack, false), "its client is to be told when it goes on");
         assert!(severed.refuse(now, b"QUERY e COMMIT\r\n").ends_with("READY E -\r\n"), "its transaction failed");
-        assert!(severed.may_close(now, Phase::Serves, true));
-        splice.client_said(now, b"QUERY d READ x\r\n", 6);
-        assert!(splice.clone().sever().starts_with("ERROR UNSURE"), "it may have run");
-        splice.carrier_said(b"ROW long, longer than any of the foragers' own words");
-        assert_eq!(splice.clone().sever(), "", "broken off within a line");
-        splice.carrier_said(b"\r\nERROR MALFORMED the end\r\n");
-        assert_eq!(splice.sever(), "", "the carrier's last word stands");
+        assert!(severed.may_close(now, DrainPhase::Serving, true));
+        session.client_said(now, b"QUERY d READ x\r\n", 6);
+        assert!(session.clone().sever().starts_with("ERROR UNSURE"), "it may have run");
+        session.carrier_said(b"ROW long, longer than any of the poolers' own words");
+        assert_eq!(session.clone().sever(), "", "broken off within a line");
+        session.carrier_said(b"\r\nERROR MALFORMED the end\r\n");
+        assert_eq!(session.sever(), "", "the carrier's last word stands");
     }
 
     #[test]
-    fn a_carrier_that_wants_to_part_leaves_the_close_to_the_forager_the_client_came_to() {
+    fn a_carrier_that_asks_for_a_close_leaves_it_to_the_pooler_the_client_connected_to() {
         let start = Instant::now();
-        let mut splice = Splice::new(3);
-        splice.client_said(start, b"CONNECT db key\r\n", 3);
-        splice.carrier_said(b"READY I -\r\n");
-        splice.client_said(start, b"QUERY a SET x 1\r\n", 3);
-        assert!(!splice.carrier_said(PART_LINE.as_bytes()).part, "a question is on its way there");
-        let heard = splice.carrier_said(b"DONE -\r\nREADY I -\r\n");
+        let mut session = ForwardedSession::new(3);
+        session.client_said(start, b"CONNECT db key\r\n", 3);
+        session.carrier_said(b"READY I -\r\n");
+        session.client_said(start, b"QUERY a SET x 1\r\n", 3);
+        assert!(!session.carrier_said(CLOSE_REQUEST_LINE.as_bytes()).part, "a question is on its way there");
+        let heard = session.carrier_said(b"DONE -\r\nREADY I -\r\n");
         assert_eq!(heard.down, b"DONE -\r\nREADY I -\r\n");
-        assert!(!splice.may_close(start, Phase::Serves, true), "the operation is still to come");
-        splice.client_said(start, b"QUERY b BEGIN\r\nQUERY c WRITE x y\r\nQUERY d COMMIT\r\n", 3);
-        splice.carrier_said(b"DONE -\r\nREADY T -\r\nDONE 1.2\r\nREADY T 1.2\r\n");
-        assert!(!splice.may_close(start, Phase::Serves, true));
-        splice.carrier_said(b"DONE 1.3\r\nREADY I 1.3\r\n");
-        assert!(splice.may_close(start, Phase::Serves, true), "the operation has ended");
-        assert!(splice.carrier_said(PART_LINE.as_bytes()).part, "nothing is asked");
+        assert!(!session.may_close(start, DrainPhase::Serving, true), "the operation is still to come");
+        session.client_said(start, b"QUERY b BEGIN\r\nQUERY c WRITE x y\r\nQUERY d COMMIT\r\n", 3);
+        session.carrier_said(b"DONE -\r\nREADY T -\r\nDONE 1.2\r\nREADY T 1.2\r\n");
+        assert!(!session.may_close(start, DrainPhase::Serving, true));
+        session.carrier_said(b"DONE 1.3\r\nREADY I 1.3\r\n");
+        assert!(session.may_close(start, DrainPhase::Serving, true), "the operation has ended");
+        assert!(session.carrier_said(CLOSE_REQUEST_LINE.as_bytes()).part, "nothing is asked");
     }
 }
--- a/brood/src/process/dance.rs
+++ b/engine/src/process/peer_message.rs
@@ -1,160 +1,160 @@
 //! What daemons say to each other, in `bincode` frames.
 
-use super::nectar::{Need, Pour};
-use super::raft;
-use super::repair::{Digests, Fact};
-use super::views::Card;
+use super::consensus;
+use super::dissemination::anti_entropy::{Digests, Update};
+use super::dissemination::partial_view::PeerDescriptor;
+use super::quota::{RightsNeed, RightsTransfer};
+use crate::version::control_state::{Command, Outcome, ProposalId};
 use crate::version::electorate::VoterId;
-use crate::version::ledger::{Command, Mark, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Dance {
+pub enum PeerMessage {
     /// Who I am; the first thing seeds tell each other.
     Hello {
-        card: Card,
+        descriptor: PeerDescriptor,
         voter: Option<VoterId>,
-        founding: bool,
+        bootstrapping: bool,
         /// Other daemons that keep the log, as known to the one that greets.
-        known: Vec<Card>,
+        known_controllers: Vec<PeerDescriptor>,
     },
-    Raft(raft::Message),
+    Raft(consensus::Message),
     Propose {
-        mark: Mark,
+        mark: ProposalId,
         command: Command,
     },
     /// The leader has the proposal: the proposer's first timer ends, its second begins.
-    Heard {
-        mark: Mark,
+    ProposalReceived {
+        mark: ProposalId,
     },
-    Decided {
-        mark: Mark,
+    ProposalDecided {
+        mark: ProposalId,
         outcome: Outcome,
     },
     /// Not from the leader: ask there.
-    Elsewhere {
-        mark: Mark,
+    NotLeader {
+        mark: ProposalId,
     },
     /// Instances' liveness, as (id, call count, age of the beat).
-    Beats {
+    InstanceHeartbeats {
         beats: Vec<(String, u64, Duration)>,
         digests: Digests,
     },
     /// A child asks to be fed.
     Attach {
-        card: Card,
+        descriptor: PeerDescriptor,
     },
-    Welcome {
-        pulse: Pulse,
+    AttachAccepted {
+        heartbeat: Heartbeat,
     },
     /// No room; try one of these.
-    Full {
-        others: Vec<Card>,
+    AttachRejected {
+        others: Vec<PeerDescriptor>,
     },
     Detach,
-    Facts(Vec<Fact>),
-    Pulse(Pulse),
+    Updates(Vec<Update>),
+    Heartbeat(Heartbeat),
     /// Ranges that differ, with the versions held in them.
-    Compare {
+    CompareVersions {
         ranges: Vec<u8>,
         versions: Vec<(String, u64)>,
     },
     Shuffle {
-        cards: Vec<Card>,
+        descriptors: Vec<PeerDescriptor>,
         answer: bool,
     },
-    Ask(Ask),
-    Grant(Grant),
-    /// A forager is short of rights now and does not wait until it asks again anyway.
-    Dip {
+    LeaseRequest(LeaseRequest),
+    LeaseGrant(LeaseGrant),
+    /// A pooler is short of rights now and does not wait until it asks again anyway.
+    RightsRequest {
         nonce: u64,
         node: String,
-        life: u64,
-        needs: Vec<Need>,
+        incarnation: u64,
+        needs: Vec<RightsNeed>,
     },
-    Poured {
+    RightsGrant {
         nonce: u64,
         span: Duration,
         term: u64,
-        pours: Vec<Pour>,
+        transfers: Vec<RightsTransfer>,
     },
     /// Not by this daemon: that one leads.
-    Led {
+    LeaderRedirect {
         leader: Ipv4Addr,
     },
     /// The leader wants leases for this epoch back.
-    Recall {
+    LeaseRecall {
         service: String,
         epoch: u64,
     },
-    Returned {
+    LeaseReturned {
         service: String,
         epoch: u64,
     },
 }
 
-/// A parent's sign of life: how old its news is, who leads, and what tells whether copies differ.
+/// A parent's sign of incarnation: how old its news is, who leads, and what tells whether copies differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// Age of the newest sign of the leader.
-    pub age: Duration,
+    pub leader_contact_age: Duration,
     pub depth: u8,
     pub leader: Option<Ipv4Addr>,
-    /// Over all digests; they themselves only where they have changed since the last pulse.
-    pub sum: u64,
+    /// Over all digests; they themselves only where they have changed since the last heartbeat.
+    pub digest_sum: u64,
     pub digests: Option<Digests>,
 }
 
-/// What a forager tells the leader now and then, asking for leases.
+/// What a pooler tells the leader now and then, asking for leases.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     pub nonce: u64,
     pub node: String,
     pub zone: String,
-    /// The life of the process; counts of an earlier one stand beside these.
-    pub life: u64,
+    /// The incarnation of the process; counts of an earlier one stand beside these.
+    pub incarnation: u64,
     /// Requests begun by window and tenant, whole so far.
     pub usage: BTreeMap<u64, BTreeMap<String, u64>>,
     /// The services that leases are asked for.
-    pub wants: Vec<String>,
+    pub services: Vec<String>,
     /// Primaries seen: service, epoch, how long it has been silent although asked.
-    pub sights: Vec<Sight>,
+    pub primary_observations: Vec<PrimaryObservation>,
     /// Connections at work, over all instances.
-    pub demand: u32,
+    pub busy_connections: u32,
     /// Over the digests of the copies here.
-    pub sum: u64,
+    pub digest_sum: u64,
     /// The rights held for tenants with a limit, where something has changed; for a leader that this
-    /// forager has not told yet (`known` is the last one's term), of all.
-    pub needs: Vec<Need>,
-    pub known: u64,
+    /// pooler has not told yet (`known` is the last one's term), of all.
+    pub rights_needs: Vec<RightsNeed>,
+    pub known_term: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct PrimaryObservation {
     pub service: String,
     pub epoch: u64,
     pub failing: bool,
     /// It answered READONLY: it has lost the lead.
     pub deposed: bool,
     /// Age of the last answer.
-    pub heard: Option<Duration>,
+    pub last_answer_age: Option<Duration>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     pub nonce: u64,
     /// Service, epoch, as far as asked for: leases from the asking on.
     pub leases: Vec<(String, u64)>,
-    pub span: Duration,
+    pub valid_for: Duration,
     /// Windows up to and including this one are reported; no need to tell of them again.
-    pub reported: Option<u64>,
+    pub reported_through: Option<u64>,
     /// Of the leader's copies, for one whose copies differ.
     pub digests: Option<Digests>,
     pub term: u64,
-    pub pours: Vec<Pour>,
+    pub transfers: Vec<RightsTransfer>,
 }
 
 /// Frames are bounded; nothing daemons say comes near this.
@@ -166,10 +166,10 @@
 const PLAIN: u8 = 0;
 const PACKED: u8 = 1;
 
-pub fn encode(dance: &Dance) -> Vec<u8> {
+pub fn encode(message: &PeerMessage) -> Vec<u8> {
     let mut bytes = vec![PLAIN];
     let config = bincode::config::standard();
-    if bincode::serde::encode_into_std_write(dance, &mut bytes, config).is_err() {
+    if bincode::serde::encode_into_std_write(message, &mut bytes, config).is_err() {
         return Vec::new();
     }
     if bytes.len() > PACK_FROM
@@ -182,12 +182,12 @@
     bytes
 }
 
-pub fn decode(bytes: &[u8]) -> Option<Dance> {
+pub fn decode(bytes: &[u8]) -> Option<PeerMessage> {
     let (kind, body) = bytes.split_first()?;
     let config = bincode::config::standard();
     let whole = |body: &[u8]| {
-        let (dance, used) = bincode::serde::decode_from_slice(body, config).ok()?;
-        (used == body.len()).then_some(dance)
+        let (message, used) = bincode::serde::decode_from_slice(body, config).ok()?;
+        (used == body.len()).then_some(message)
     };
     match *kind {
         PLAIN => whole(body),
@@ -206,20 +206,20 @@
 
     #[test]
     fn long_messages_are_packed_and_torn_ones_are_refused() {
-        let facts = |n: usize| {
-            let fact = |i| Fact {
+        let updates = |n: usize| {
+            let update = |i| Update {
                 key: format!("d/i-{i}"),
                 version: i as u64,
-                value: super::super::repair::Value::Drain { id: format!("i-{i}") },
+                value: super::super::dissemination::anti_entropy::UpdateValue::DrainInstance { id: format!("i-{i}") },
             };
-            Dance::Facts((0..n).map(fact).collect())
+            PeerMessage::Updates((0..n).map(update).collect())
         };
         for n in [0, 3, 400] {
-            let bytes = encode(&facts(n));
-            assert_eq!(decode(&bytes), Some(facts(n)));
+            let bytes = encode(&updates(n));
+            assert_eq!(decode(&bytes), Some(updates(n)));
             assert!(bytes.len() < 4000, "{} bytes", bytes.len());
             for cut in [0, 1, bytes.len() / 2, bytes.len() - 1] {
-                assert_eq!(decode(&bytes[..cut]), None, "{n} facts cut at {cut}");
+                assert_eq!(decode(&bytes[..cut]), None, "{n} updates cut at {cut}");
             }
         }
         assert_eq!(decode(&[7, 0, 0]), None);
--- a/brood/src/process/nectar.rs
+++ b/engine/src/process/quota/mod.rs
@@ -10,46 +10,46 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// A holder of rights: the life of a process, or the term of a leader. One that begins anew is another.
-pub type Holder = u64;
+/// A holder of rights: the incarnation of a process, or the term of a leader. One that begins anew is another.
+pub type HolderId = u64;
 
 /// The counter: who gave how many rights to whom, and who has spent how many. Sparse: an entry that was
 /// never raised is 0. What it is worth is derived, never stored.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Nectar {
+pub struct BoundedCounter {
     /// R by giver, then by receiver; the diagonal holds what was created.
-    given: BTreeMap<(Holder, Holder), u64>,
+    given: BTreeMap<(HolderId, HolderId), u64>,
     /// The same entries by receiver, then by giver.
-    taken: BTreeMap<(Holder, Holder), u64>,
+    taken: BTreeMap<(HolderId, HolderId), u64>,
     /// U: what was spent.
-    spent: BTreeMap<Holder, u64>,
+    spent: BTreeMap<HolderId, u64>,
 }
 
-impl Nectar {
-    fn raise(&mut self, from: Holder, to: Holder, n: u64) {
+impl BoundedCounter {
+    fn raise(&mut self, from: HolderId, to: HolderId, n: u64) {
         let entry = self.given.entry((from, to)).or_default();
         *entry = (*entry).max(n);
         self.taken.insert((to, from), *entry);
     }
 
-    fn raise_spent(&mut self, who: Holder, n: u64) {
+    fn raise_spent(&mut self, who: HolderId, n: u64) {
         let entry = self.spent.entry(who).or_default();
         *entry = (*entry).max(n);
     }
 
-    fn entry(&self, from: Holder, to: Holder) -> u64 {
+    fn entry(&self, from: HolderId, to: HolderId) -> u64 {
         self.given.get(&(from, to)).copied().unwrap_or(0)
     }
 
-    pub fn spent(&self, who: Holder) -> u64 {
+    pub fn spent(&self, who: HolderId) -> u64 {
         self.spent.get(&who).copied().unwrap_or(0)
     }
 
     /// Created and received, less what was given away and spent. Less than nothing where a copy has heard
     /// of spending and not yet of the rights that it came from.
-    pub fn local_rights(&self, who: Holder) -> i64 {
-        let taken: u64 = self.taken.range((who, 0)..=(who, Holder::MAX)).map(|(_, n)| n).sum();
-        let row = self.given.range((who, 0)..=(who, Holder::MAX));
+    pub fn local_rights(&self, who: HolderId) -> i64 {
+        let taken: u64 = self.taken.range((who, 0)..=(who, HolderId::MAX)).map(|(_, n)| n).sum();
+        let row = self.given.range((who, 0)..=(who, HolderId::MAX));
         let given: u64 = row.filter(|((_, to), _)| *to != who).map(|(_, n)| n).sum();
         taken as i64 - given as i64 - self.spent(who) as i64
     }
@@ -60,12 +60,12 @@
         created as i64 - self.spent.values().sum::<u64>() as i64
     }
 
-    pub fn create(&mut self, who: Holder, n: u64) {
+    pub fn create(&mut self, who: HolderId, n: u64) {
         self.raise(who, who, self.entry(who, who) + n);
     }
 
     /// Spends rights that `who` holds, or nothing.
-    pub fn dec(&mut self, who: Holder, n: u64) -> bool {
+    pub fn dec(&mut self, who: HolderId, n: u64) -> bool {
         let enough = self.local_rights(who) >= n as i64;
         if enough {
             self.raise_spent(who, self.spent(who) + n);
@@ -74,7 +74,7 @@
     }
 
     /// Moves rights that `from` holds, or none; the giver is debited at once.
-    pub fn transfer(&mut self, from: Holder, to: Holder, n: u64) -> bool {
+    pub fn transfer(&mut self, from: HolderId, to: HolderId, n: u64) -> bool {
         let enough = from != to && self.local_rights(from) >= n as i64;
         if enough && n > 0 {
             self.raise(from, to, self.entry(from, to) + n);
@@ -83,63 +83,63 @@
     }
 
     /// Spends all that `who` holds: it may no longer be used.
-    fn void(&mut self, who: Holder) {
+    fn void(&mut self, who: HolderId) {
         let rest = self.local_rights(who).max(0) as u64;
         self.dec(who, rest);
     }
 
-    pub fn merge(&mut self, other: &Nectar) {
+    pub fn merge(&mut self, other: &BoundedCounter) {
         other.given.iter().for_each(|((from, to), n)| self.raise(*from, *to, *n));
         other.spent.iter().for_each(|(who, n)| self.raise_spent(*who, *n));
     }
 }
 
-/// A forager's part of a tenant's counter, as it travels, and how many rights it wants to hold.
+/// A pooler's part of a tenant's counter, as it travels, and how many rights it wants to hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Need {
+pub struct RightsNeed {
     pub tenant: String,
-    taken: Vec<(Holder, u64)>,
-    given: Vec<(Holder, u64)>,
+    taken: Vec<(HolderId, u64)>,
+    given: Vec<(HolderId, u64)>,
     spent: u64,
     target: u64,
 }
 
-impl Need {
+impl RightsNeed {
     /// What it tells, as a copy of the counter.
-    fn copy(&self, life: Holder) -> Nectar {
-        let mut copy = Nectar::default();
-        self.taken.iter().for_each(|(from, n)| copy.raise(*from, life, *n));
-        self.given.iter().for_each(|(to, n)| copy.raise(life, *to, *n));
-        copy.raise_spent(life, self.spent);
+    fn copy(&self, incarnation: HolderId) -> BoundedCounter {
+        let mut copy = BoundedCounter::default();
+        self.taken.iter().for_each(|(from, n)| copy.raise(*from, incarnation, *n));
+        self.given.iter().for_each(|(to, n)| copy.raise(incarnation, *to, *n));
+        copy.raise_spent(incarnation, self.spent);
         copy
     }
 }
 
-/// The same from the leader: what it has given this forager in all, and what is taken as spent.
+/// The same from the leader: what it has given this pooler in all, and what is taken as spent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pour {
+pub struct RightsTransfer {
     pub tenant: String,
     given: u64,
     spent: u64,
 }
 
-impl Pour {
-    fn copy(&self, leader: Holder, life: Holder) -> Nectar {
-        let mut copy = Nectar::default();
-        copy.raise(leader, life, self.given);
-        copy.raise_spent(life, self.spent);
+impl RightsTransfer {
+    fn copy(&self, leader: HolderId, incarnation: HolderId) -> BoundedCounter {
+        let mut copy = BoundedCounter::default();
+        copy.raise(leader, incarnation, self.given);
+        copy.raise_spent(incarnation, self.spent);
         copy
     }
 }
 
 /// Whether an operation may begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sip {
+pub enum SpendOutcome {
     Admitted,
     /// Nothing is held here; the leader is asked.
-    Ask,
+    RequestRights,
     /// There is nothing to be had for the moment.
-    Dry,
+    Exhausted,
 }
 
 /// Rights are held for what the next moments are expected to want.
@@ -150,8 +150,8 @@
 const DRY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
-struct Pot {
-    nectar: Nectar,
+struct TenantRights {
+    counter: BoundedCounter,
     /// Operations asked for a second, smoothed, as of then.
     pace: f64,
     paced: Instant,
@@ -162,26 +162,26 @@
     changed: bool,
 }
 
-impl Pot {
+impl TenantRights {
     fn pace(&self, now: Instant) -> f64 {
         self.pace * (-now.duration_since(self.paced).as_secs_f64() / PACE).exp()
     }
 }
 
-/// The rights that a forager holds.
+/// The rights that a pooler holds.
 #[derive(Debug)]
-pub struct Crop {
-    me: Holder,
-    pots: BTreeMap<String, Pot>,
+pub struct RightsHolder {
+    me: HolderId,
+    tenants: BTreeMap<String, TenantRights>,
     /// Rights may be spent until then.
     until: Option<Instant>,
     /// The leader that knows all that is held here.
-    pub known: Holder,
+    pub known: HolderId,
 }
 
-impl Crop {
-    pub fn new(me: Holder) -> Self {
-        Crop { me, pots: BTreeMap::new(), until: None, known: 0 }
+impl RightsHolder {
+    pub fn new(me: HolderId) -> Self {
+        RightsHolder { me, tenants: BTreeMap::new(), until: None, known: 0 }
     }
 
     fn valid(&self, now: Instant) -> bool {
@@ -189,10 +189,10 @@
     }
 
     /// An operation of a tenant that has a limit; `again`: it has waited for rights.
-    pub fn sip(&mut self, now: Instant, tenant: &str, again: bool) -> Sip {
+    pub fn spend(&mut self, now: Instant, tenant: &str, again: bool) -> SpendOutcome {
         let (valid, me) = (self.valid(now), self.me);
-        let pot = self.pots.entry(tenant.to_owned()).or_insert_with(|| Pot {
-            nectar: Nectar::default(),
+        let tenant_rights = self.tenants.entry(tenant.to_owned()).or_insert_with(|| TenantRights {
+            counter: BoundedCounter::default(),
             pace: 0.0,
             paced: now,
             waiting: 0,
@@ -200,44 +200,44 @@
             changed: false,
         });
         if !again {
-            pot.pace = pot.pace(now) + 1.0 / PACE;
-            pot.paced = now;
+            tenant_rights.pace = tenant_rights.pace(now) + 1.0 / PACE;
+            tenant_rights.paced = now;
         }
-        if valid && pot.nectar.dec(me, 1) {
-            pot.changed = true;
-            return Sip::Admitted;
+        if valid && tenant_rights.counter.dec(me, 1) {
+            tenant_rights.changed = true;
+            return SpendOutcome::Admitted;
         }
-        if pot.dry.is_some_and(|at| now.duration_since(at) < DRY) {
-            return Sip::Dry;
+        if tenant_rights.dry.is_some_and(|at| now.duration_since(at) < DRY) {
+            return SpendOutcome::Exhausted;
         }
-        pot.waiting += 1;
-        pot.changed = true;
-        Sip::Ask
+        tenant_rights.waiting += 1;
+        tenant_rights.changed = true;
+        SpendOutcome::RequestRights
     }
 
     /// What the leader is told: of every tenant, or of those where something has changed. What is held
     /// beyond need goes back.
-    pub fn needs(&mut self, now: Instant, whole: bool) -> Vec<Need> {
+    pub fn needs(&mut self, now: Instant, whole: bool) -> Vec<RightsNeed> {
         let (me, back) = (self.me, self.known);
         let valid = self.valid(now);
         let mut needs = Vec::new();
-        for (tenant, pot) in &mut self.pots {
-            let target = (pot.pace(now) * STOCK + 0.4) as u64 + pot.waiting;
-            let held = pot.nectar.local_rights(me).max(0) as u64;
+        for (tenant, tenant_rights) in &mut self.tenants {
+            let target = (tenant_rights.pace(now) * STOCK + 0.4) as u64 + tenant_rights.waiting;
+            let held = tenant_rights.counter.local_rights(me).max(0) as u64;
             let spare = held.saturating_sub(target);
             if valid && back > 0 && (spare > target + 2 || target == 0) {
-                pot.changed |= spare > 0 && pot.nectar.transfer(me, back, spare);
+                tenant_rights.changed |= spare > 0 && tenant_rights.counter.transfer(me, back, spare);
             }
-            if !std::mem::take(&mut pot.changed) && !whole {
+            if !std::mem::take(&mut tenant_rights.changed) && !whole {
                 continue;
             }
-            let row = pot.nectar.given.range((me, 0)..=(me, Holder::MAX));
-            let column = pot.nectar.taken.range((me, 0)..=(me, Holder::MAX));
-            needs.push(Need {
+            let row = tenant_rights.counter.given.range((me, 0)..=(me, HolderId::MAX));
+            let column = tenant_rights.counter.taken.range((me, 0)..=(me, HolderId::MAX));
+            needs.push(RightsNeed {
                 tenant: tenant.clone(),
                 taken: column.map(|((_, from), n)| (*from, *n)).collect(),
                 given: row.map(|((_, to), n)| (*to, *n)).collect(),
-                spent: pot.nectar.spent(me),
+                spent: tenant_rights.counter.spent(me),
                 target,
             });
         }
@@ -245,23 +245,29 @@
     }
 
     /// The leader of this term answered what was asked then. Whether it must be told everything.
-    pub fn poured(&mut self, now: Instant, until: Instant, leader: Holder, pours: Vec<Pour>) -> bool {
+    pub fn handle_rights_grant(
+        &mut self,
+        now: Instant,
+        until: Instant,
+        leader: HolderId,
+        transfers: Vec<RightsTransfer>,
+    ) -> bool {
         if until <= now {
             return false;
         }
         if !self.valid(now) {
             // It has been taken as spent meanwhile.
-            self.pots.values_mut().for_each(|pot| pot.nectar.void(self.me));
+            self.tenants.values_mut().for_each(|tenant_rights| tenant_rights.counter.void(self.me));
         }
         self.until = self.until.max(Some(until));
-        for pour in pours {
-            let Some(pot) = self.pots.get_mut(&pour.tenant) else { continue };
-            pot.nectar.merge(&pour.copy(leader, self.me));
-            let empty = pot.waiting > 0 && pot.nectar.local_rights(self.me) <= 0;
-            pot.dry = empty.then_some(now);
+        for transfer in transfers {
+            let Some(tenant_rights) = self.tenants.get_mut(&transfer.tenant) else { continue };
+            tenant_rights.counter.merge(&transfer.copy(leader, self.me));
+            let empty = tenant_rights.waiting > 0 && tenant_rights.counter.local_rights(self.me) <= 0;
+            tenant_rights.dry = empty.then_some(now);
         }
         // Whoever waits asks anew.
-        self.pots.values_mut().for_each(|pot| pot.waiting = 0);
+        self.tenants.values_mut().for_each(|tenant_rights| tenant_rights.waiting = 0);
         let new = self.known != leader;
         self.known = leader;
         new
@@ -271,43 +277,43 @@
 /// How much of the excess that the rules allow is used, so that what is created and not yet seen elsewhere
 /// does not turn anybody away below the limit.
 const EXCESS_USED: f64 = 0.5;
-/// One forager holds no more than this part of a tenant's burst.
+/// One pooler holds no more than this part of a tenant's burst.
 const HELD_MAX: u64 = 4;
 
 #[derive(Debug, Default)]
-struct Jar {
-    nectar: Nectar,
+struct TenantCounter {
+    counter: BoundedCounter,
     /// The part of a right that is under way, and up to when time has been counted.
     credit: f64,
     filled: Option<Instant>,
-    /// Held by foragers: the sum of their local rights, kept as they change.
+    /// Held by poolers: the sum of their local rights, kept as they change.
     held: i64,
 }
 
 /// The leader's copies of all counters. It creates the rights, and gives them out.
 #[derive(Debug)]
-pub struct Stores {
-    me: Holder,
+pub struct QuotaCoordinator {
+    me: HolderId,
     since: Instant,
-    /// Until then foragers may hold what an earlier leader gave.
+    /// Until then poolers may hold what an earlier leader gave.
     unknown_until: Instant,
     span: Duration,
     revision: u64,
     quotas: HashMap<String, Quota>,
     excess: (f64, f64),
-    jars: HashMap<String, Jar>,
+    tenants: HashMap<String, TenantCounter>,
     /// Lives and their daemons' names, and when each was last answered.
-    lives: BTreeMap<Holder, (String, Instant)>,
+    lives: BTreeMap<HolderId, (String, Instant)>,
     /// Daemons that have told all they hold.
     told: BTreeSet<String>,
     swept: Instant,
 }
 
-impl Stores {
+impl QuotaCoordinator {
     /// `span`: how long rights may be spent after they were asked for. `excess`: part and number by which
     /// a limit may be passed.
     pub fn new(now: Instant, term: u64, span: Duration, confirm: Duration, excess: (f64, f64)) -> Self {
-        Stores {
+        QuotaCoordinator {
             me: term,
             since: now,
             unknown_until: now + span + confirm,
@@ -315,7 +321,7 @@
             revision: 0,
             quotas: HashMap::new(),
             excess,
-            jars: HashMap::new(),
+            tenants: HashMap::new(),
             lives: BTreeMap::new(),
             told: BTreeSet::new(),
             swept: now,
@@ -332,60 +338,64 @@
         self.quotas = quotas;
     }
 
-    /// A forager tells what it holds and wants; `whole`: of every tenant. `roster` names the foragers that
+    /// A pooler tells what it holds and wants; `whole`: of every tenant. `assignment` names the poolers that
     /// count. Gives out what there is.
     pub fn asked<'a>(
         &mut self,
         now: Instant,
-        (name, life): (&str, Holder),
+        (name, incarnation): (&str, HolderId),
         whole: bool,
-        needs: Vec<Need>,
-        roster: impl Iterator<Item = &'a String>,
-    ) -> Vec<Pour> {
-        // A daemon that has begun anew spends nothing of its earlier life any more.
-        self.write_off(|l, n, _| n == name && l != life);
-        self.lives.insert(life, (name.to_owned(), now));
+        needs: Vec<RightsNeed>,
+        assignment: impl Iterator<Item = &'a String>,
+    ) -> Vec<RightsTransfer> {
+        // A daemon that has begun anew spends nothing of its earlier incarnation any more.
+        self.write_off(|l, n, _| n == name && l != incarnation);
+        self.lives.insert(incarnation, (name.to_owned(), now));
         self.sweep(now);
         if whole {
             self.told.insert(name.to_owned());
         }
         let unknown = match now < self.unknown_until {
-            true => roster.filter(|n| !self.told.contains(*n)).count() as u64,
+            true => assignment.filter(|n| !self.told.contains(*n)).count() as u64,
             false => 0,
         };
-        needs.into_iter().filter_map(|need| self.pour(now, life, unknown, need)).collect()
+        needs.into_iter().filter_map(|need| self.pour(now, incarnation, unknown, need)).collect()
     }
 
-    fn pour(&mut self, now: Instant, life: Holder, unknown: u64, need: Need) -> Option<Pour> {
+    fn pour(&mut self, now: Instant, incarnation: HolderId, unknown: u64, need: RightsNeed) -> Option<RightsTransfer> {
         let quota = self.quotas.get(&need.tenant)?;
         let (part, number) = (self.excess.0 * EXCESS_USED, self.excess.1 * EXCESS_USED);
         let burst = (quota.burst * (1.0 + part) + number).max(1.0);
         let (me, since) = (self.me, self.since);
-        let jar = self.jars.entry(need.tenant.clone()).or_default();
-        let before = jar.nectar.local_rights(life).max(0);
-        jar.nectar.merge(&need.copy(life));
-        let held = jar.nectar.local_rights(life).max(0);
-        jar.held += held - before;
+        let tenant_counter = self.tenants.entry(need.tenant.clone()).or_default();
+        let before = tenant_counter.counter.local_rights(incarnation).max(0);
+        tenant_counter.counter.merge(&need.copy(incarnation));
+        let held = tenant_counter.counter.local_rights(incarnation).max(0);
+        tenant_counter.held += held - before;
         // Rights are created as time passes, never so that more than the burst is unspent in all.
-        let passed = now.duration_since(jar.filled.replace(now).unwrap_or(since)).as_secs_f64();
+        let passed = now.duration_since(tenant_counter.filled.replace(now).unwrap_or(since)).as_secs_f64();
         let most = (burst as u64) / HELD_MAX;
         let hidden = (unknown * most.max(1)).min(burst as u64) as f64;
-        let stock = jar.nectar.local_rights(me).max(0);
-        let room = (burst - hidden - jar.held.max(0) as f64 - stock as f64).max(0.0);
-        jar.credit = (jar.credit + passed * quota.rate * (1.0 + part)).min(room);
-        let created = jar.credit as u64;
-        jar.credit -= created as f64;
-        jar.nectar.create(me, created);
+        let stock = tenant_counter.counter.local_rights(me).max(0);
+        let room = (burst - hidden - tenant_counter.held.max(0) as f64 - stock as f64).max(0.0);
+        tenant_counter.credit = (tenant_counter.credit + passed * quota.rate * (1.0 + part)).min(room);
+        let created = tenant_counter.credit as u64;
+        tenant_counter.credit -= created as f64;
+        tenant_counter.counter.create(me, created);
         let stock = stock as u64 + created;
         let wants = need.target.min(most.max(1)).saturating_sub(held as u64);
         let gives = wants.min(stock);
-        if jar.nectar.transfer(me, life, gives) {
-            jar.held += gives as i64;
+        if tenant_counter.counter.transfer(me, incarnation, gives) {
+            tenant_counter.held += gives as i64;
         }
-        Some(Pour { tenant: need.tenant, given: jar.nectar.entry(me, life), spent: jar.nectar.spent(life) })
+        Some(RightsTransfer {
+            tenant: need.tenant,
+            given: tenant_counter.counter.entry(me, incarnation),
+            spent: tenant_counter.counter.spent(incarnation),
+        })
     }
 
-    /// Foragers that have not been answered for so long may no longer spend what they hold.
+    /// Poolers that have not been answered for so long may no longer spend what they hold.
     fn sweep(&mut self, now: Instant) {
         if now.duration_since(self.swept) < DRY {
             return;
@@ -396,14 +406,14 @@
     }
 
     /// What these lives hold is taken as spent.
-    fn write_off(&mut self, gone: impl Fn(Holder, &str, Instant) -> bool) {
-        let lives = self.lives.iter().filter(|(life, (name, at))| gone(**life, name, *at));
-        let lives: Vec<Holder> = lives.map(|(life, _)| *life).collect();
-        for life in lives {
-            self.lives.remove(&life);
-            for jar in self.jars.values_mut() {
-                jar.held -= jar.nectar.local_rights(life).max(0);
-                jar.nectar.void(life);
+    fn write_off(&mut self, gone: impl Fn(HolderId, &str, Instant) -> bool) {
+        let lives = self.lives.iter().filter(|(incarnation, (name, at))| gone(**incarnation, name, *at));
+        let lives: Vec<HolderId> = lives.map(|(incarnation, _)| *incarnation).collect();
+        for incarnation in lives {
+            self.lives.remove(&incarnation);
+            for tenant_counter in self.tenants.values_mut() {
+                tenant_counter.held -= tenant_counter.counter.local_rights(incarnation).max(0);
+                tenant_counter.counter.void(incarnation);
             }
         }
     }
@@ -419,7 +429,7 @@
     /// The source's own example: a wallet of 100, split 50, 30 and 20.
     #[test]
     fn a_charge_beyond_what_is_held_fails_until_rights_are_borrowed() {
-        let mut wallet = Nectar::default();
+        let mut wallet = BoundedCounter::default();
         wallet.create(1, 100);
         assert!(wallet.transfer(1, 2, 30) && wallet.transfer(1, 3, 20));
         assert!(wallet.dec(1, 15) && wallet.dec(2, 25));
@@ -439,8 +449,8 @@
     fn any_order_of_spending_moving_losing_and_repeating_keeps_the_floor() {
         for seed in 0..200 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut copies = vec![Nectar::default(); 4];
-            let mut sent: Vec<Nectar> = Vec::new();
+            let mut copies = vec![BoundedCounter::default(); 4];
+            let mut sent: Vec<BoundedCounter> = Vec::new();
             let (mut created, mut spent) = (0, 0);
             for _ in 0..300 {
                 let (at, other) = (rng.usize(0..4), rng.usize(0..4));
@@ -461,7 +471,7 @@
                 assert!(spent <= created, "seed {seed}");
             }
             let all = |order: [usize; 4]| {
-                let mut sum = Nectar::default();
+                let mut sum = BoundedCounter::default();
                 order.iter().chain(&order).for_each(|c| sum.merge(&copies[*c]));
                 sum
             };
@@ -474,28 +484,28 @@
         }
     }
 
-    struct Hive {
+    struct Executor {
         now: Instant,
-        stores: Stores,
-        crops: Vec<(String, Crop)>,
+        stores: QuotaCoordinator,
+        poolers: Vec<(String, RightsHolder)>,
         admitted: Vec<Instant>,
-        roster: Vec<String>,
+        assignment: Vec<String>,
     }
 
-    impl Hive {
-        fn new(foragers: usize, rate: f64, burst: f64) -> Self {
+    impl Executor {
+        fn new(poolers: usize, rate: f64, burst: f64) -> Self {
             let now = Instant::now();
-            let crops: Vec<_> = (0..foragers).map(|n| (format!("f{n}"), Crop::new(1000 + n as u64))).collect();
-            let roster = crops.iter().map(|(n, _)| n.clone()).collect();
-            let mut hive = Hive {
+            let poolers: Vec<_> = (0..poolers).map(|n| (format!("f{n}"), RightsHolder::new(1000 + n as u64))).collect();
+            let assignment = poolers.iter().map(|(n, _)| n.clone()).collect();
+            let mut fleet = Executor {
                 now,
-                stores: Stores::new(now, 1, SPAN, CONFIRM, (0.0, 0.0)),
-                crops,
+                stores: QuotaCoordinator::new(now, 1, SPAN, CONFIRM, (0.0, 0.0)),
+                poolers,
                 admitted: Vec::new(),
-                roster,
+                assignment,
             };
-            hive.limit(2, rate, burst);
-            hive
+            fleet.limit(2, rate, burst);
+            fleet
         }
 
         fn limit(&mut self, revision: u64, rate: f64, burst: f64) {
@@ -503,22 +513,22 @@
         }
 
         fn ask(&mut self, n: usize, lost: bool) {
-            let (name, crop) = &mut self.crops[n];
-            let (asked, whole) = (self.now, crop.known == self.stores.me);
-            let needs = crop.needs(self.now, true);
-            let pours = self.stores.asked(self.now, (name, crop.me), whole, needs, self.roster.iter());
+            let (name, rights) = &mut self.poolers[n];
+            let (asked, whole) = (self.now, rights.known == self.stores.me);
+            let needs = rights.needs(self.now, true);
+            let transfers = self.stores.asked(self.now, (name, rights.me), whole, needs, self.assignment.iter());
             if !lost {
-                crop.poured(self.now, asked + SPAN, self.stores.me, pours);
+                rights.handle_rights_grant(self.now, asked + SPAN, self.stores.me, transfers);
             }
         }
 
         fn press(&mut self, n: usize) {
-            let mut sip = self.crops[n].1.sip(self.now, "t", false);
-            if sip == Sip::Ask {
+            let mut outcome = self.poolers[n].1.spend(self.now, "t", false);
+            if outcome == SpendOutcome::RequestRights {
                 self.ask(n, false);
-                sip = self.crops[n].1.sip(self.now, "t", true);
+                outcome = self.poolers[n].1.spend(self.now, "t", true);
             }
-            if sip == Sip::Admitted {
+            if outcome == SpendOutcome::Admitted {
                 self.admitted.push(self.now);
             }
         }
@@ -531,62 +541,62 @@
     }
 
     #[test]
-    fn a_hot_tenant_is_held_to_its_limit_while_leaders_change_and_foragers_are_lost() {
+    fn a_hot_tenant_is_held_to_its_limit_while_leaders_change_and_poolers_are_lost() {
         for seed in 0..20 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut hive = Hive::new(8, 100.0, 100.0);
+            let mut fleet = Executor::new(8, 100.0, 100.0);
             let mut cut = [false; 8];
             for step in 0..12_000u64 {
-                hive.now += Duration::from_millis(1);
+                fleet.now += Duration::from_millis(1);
                 let n = rng.usize(0..8);
                 if rng.u32(0..2) == 0 && !cut[n] {
-                    hive.press(n);
-                } else if cut[n] && hive.crops[n].1.sip(hive.now, "t", false) == Sip::Admitted {
+                    fleet.press(n);
+                } else if cut[n] && fleet.poolers[n].1.spend(fleet.now, "t", false) == SpendOutcome::Admitted {
                     // It goes on with what it holds.
-                    let now = hive.now;
-                    hive.admitted.push(now);
+                    let now = fleet.now;
+                    fleet.admitted.push(now);
                 }
                 if step % 400 == 0 {
-                    (0..8).filter(|n| !cut[*n]).for_each(|n| hive.ask(n, n as u64 == step / 400 % 8));
+                    (0..8).filter(|n| !cut[*n]).for_each(|n| fleet.ask(n, n as u64 == step / 400 % 8));
                 }
                 match step {
                     4_000 => cut = std::array::from_fn(|n| n < 2),
-                    5_000 => hive.crops[2] = ("f2".into(), Crop::new(77)),
+                    5_000 => fleet.poolers[2] = ("f2".into(), RightsHolder::new(77)),
                     5_500 => {
-                        let quotas = hive.stores.quotas.clone();
-                        hive.stores = Stores::new(hive.now, 2, SPAN, CONFIRM, (0.0, 0.0));
-                        hive.stores.learn(2, quotas);
+                        let quotas = fleet.stores.quotas.clone();
+                        fleet.stores = QuotaCoordinator::new(fleet.now, 2, SPAN, CONFIRM, (0.0, 0.0));
+                        fleet.stores.learn(2, quotas);
                     }
                     8_000 => cut = [false; 8],
                     _ => {}
                 }
             }
-            let most = hive.most_in(Duration::from_secs(5));
+            let most = fleet.most_in(Duration::from_secs(5));
             assert!(most <= 600, "seed {seed}: {most} of 600");
-            assert!(hive.admitted.len() > 900, "seed {seed}: only {} of 1200 were let through", hive.admitted.len());
+            assert!(fleet.admitted.len() > 900, "seed {seed}: only {} of 1200 were let through", fleet.admitted.len());
         }
     }
 
     #[test]
     fn a_lower_limit_holds_one_window_later_and_idle_rights_go_back() {
-        let mut hive = Hive::new(2, 100.0, 100.0);
+        let mut fleet = Executor::new(2, 100.0, 100.0);
         for step in 0..30_000u64 {
-            hive.now += Duration::from_millis(1);
+            fleet.now += Duration::from_millis(1);
             // The first is busy early, the other late.
             let n = usize::from(step > 6_000);
             if step % 5 == 0 {
-                hive.press(n);
+                fleet.press(n);
             }
             if step % 400 == 0 {
-                (0..2).for_each(|n| hive.ask(n, false));
+                (0..2).for_each(|n| fleet.ask(n, false));
             }
             if step == 10_000 {
-                hive.limit(4, 20.0, 20.0);
+                fleet.limit(4, 20.0, 20.0);
             }
         }
-        let after = hive.now - Duration::from_secs(5);
-        let late = hive.admitted.iter().filter(|t| **t > after).count();
+        let after = fleet.now - Duration::from_secs(5);
+        let late = fleet.admitted.iter().filter(|t| **t > after).count();
         assert!((90..=120).contains(&late), "{late}");
-        assert_eq!(hive.crops[0].1.pots["t"].nectar.local_rights(1000), 0, "nothing lies idle");
+        assert_eq!(fleet.poolers[0].1.tenants["t"].counter.local_rights(1000), 0, "nothing lies idle");
     }
 }
--- a/brood/src/process/settings.rs
+++ b/engine/src/process/settings.rs
@@ -42,7 +42,7 @@
     pub tolerance: Tolerance,
     #[serde(default)]
     #[garde(dive)]
-    pub timing_bounds: Bounds,
+    pub timing_bounds: TimingBounds,
     #[serde(default)]
     #[garde(dive)]
     pub platform: Option<Platform>,
@@ -107,7 +107,7 @@
 /// The bounds that the rules set; where the file is silent, the protocol pages' usual figures.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Bounds {
+pub struct TimingBounds {
     #[garde(range(min = 0.0))]
     pub drain_ms: f64,
     #[garde(range(min = 0.1))]
@@ -122,16 +122,16 @@
     pub usage_window_s: f64,
     #[garde(range(min = 0.0))]
     pub usage_delay_s: f64,
-    /// Part and number by which a tenant's limit may be passed.
+    /// PoolerShare and number by which a tenant's limit may be passed.
     #[garde(range(min = 0.0))]
     pub quota_excess: f64,
     #[garde(range(min = 0.0))]
     pub quota_slack: f64,
 }
 
-impl Default for Bounds {
+impl Default for TimingBounds {
     fn default() -> Self {
-        Bounds {
+        TimingBounds {
             drain_ms: 7000.0,
             grace_s: 6.0,
             apply_ms: 3000.0,
@@ -145,7 +145,7 @@
     }
 }
 
-impl Bounds {
+impl TimingBounds {
     pub fn drain(&self) -> Duration {
         Duration::from_secs_f64(self.drain_ms / 1000.0)
     }
@@ -207,12 +207,12 @@
     }
 
     /// Where this daemon takes sessions that others pass on, if there is a port for it.
-    pub fn carry_port(&self) -> Option<u16> {
+    pub fn forwarding_port(&self) -> Option<u16> {
         Some(self.internal_ports[1]).filter(|p| *p != self.internal_ports[0])
     }
 
     /// Where this daemon listens for the others.
-    pub fn hive_port(&self) -> u16 {
+    pub fn peer_port(&self) -> u16 {
         self.internal_ports[0]
     }
 }
--- a/brood/src/request/verdict.rs
+++ b/engine/src/request/error.rs
@@ -2,46 +2,47 @@
 
 /// How a try that did not succeed ended, seen from the client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestError {
     /// Nothing of this try is kept; it may be sent again.
     NotRun(&'static str, String),
-    /// It ran, or may have run; sending it again could run it twice.
+    /// It ran, or may have run; snapshot_transfer it again could run it twice.
     MayHaveRun(&'static str, String),
-    /// The request itself is wrong; sending it again changes nothing.
-    Refused(&'static str, String),
+    /// The request itself is wrong; snapshot_transfer it again changes nothing.
+    Rejected(&'static str, String),
 }
 
 /// The codes by which an instance promises that nothing of the try is kept.
 const PROMISES: [&str; 6] = ["BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGHOST", "FULL"];
 
-impl Verdict {
+impl RequestError {
     pub fn busy(why: &str) -> Self {
-        Verdict::NotRun("BUSY", why.to_owned())
+        RequestError::NotRun("BUSY", why.to_owned())
     }
 
     pub fn aborted(why: &str) -> Self {
-        Verdict::NotRun("ABORTED", why.to_owned())
+        RequestError::NotRun("ABORTED", why.to_owned())
     }
 
     pub fn unsure(why: &str) -> Self {
-        Verdict::MayHaveRun("UNSURE", why.to_owned())
+        RequestError::MayHaveRun("UNSURE", why.to_owned())
     }
 
     pub fn timeout(why: &str) -> Self {
-        Verdict::MayHaveRun("TIMEOUT", why.to_owned())
+        RequestError::MayHaveRun("TIMEOUT", why.to_owned())
     }
 
     pub fn malformed(why: &str) -> Self {
-        Verdict::Refused("MALFORMED", why.to_owned())
+        RequestError::Rejected("MALFORMED", why.to_owned())
     }
 
     pub fn may_have_run(&self) -> bool {
-        matches!(self, Verdict::MayHaveRun(..))
+        matches!(self, RequestError::MayHaveRun(..))
     }
 
     /// The `ERROR` line that tells the client.
     pub fn line(&self) -> String {
-        let (Verdict::NotRun(code, why) | Verdict::MayHaveRun(code, why) | Verdict::Refused(code, why)) = self;
+        let (RequestError::NotRun(code, why) | RequestError::MayHaveRun(code, why) | RequestError::Rejected(code, why)) =
+            self;
         format!("ERROR {code} {why}\r\n")
     }
 }
--- a/brood/src/request/mod.rs
+++ b/engine/src/request/mod.rs
@@ -1,4 +1,4 @@
 //! What lives for one request.
 
+pub mod error;
 pub mod statement;
-pub mod verdict;
