--- a/brood/src/version/ledger.rs
+++ b/engine/src/version/control_state/mod.rs
@@ -1,9 +1,9 @@
-//! The state that the replicated log decides: configuration, primaries, drains, shares, duties.
-//! Applying is deterministic; every daemon that keeps the log reaches the same ledger.
+//! The state that the replicated log decides: configuration, primaries, drains, shares, leadership.
+//! Applying is deterministic; every daemon that keeps the log reaches the same control_state.
 
 use super::config;
 use super::electorate::{Electorate, Voter};
-use crate::process::carry::Parts;
+use crate::process::forwarding::PoolerShares;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -20,39 +20,39 @@
         at: Duration,
     },
     /// No lease is given for this epoch any more: the primary is about to be replaced.
-    Close {
+    CloseEpoch {
         service: String,
         epoch: u64,
     },
     /// The platform is about to be asked to let `target` take over.
-    Name {
+    SelectCandidate {
         service: String,
         epoch: u64,
-        target: String,
+        candidate: String,
         holder: String,
     },
     /// `primary` is known to lead `term`; leases may be given for `epoch`.
-    Crown {
+    InstallPrimary {
         service: String,
         epoch: u64,
         primary: String,
         term: u64,
     },
-    Drain {
+    DrainInstance {
         id: String,
     },
     /// The data plane's daemons among which the capped connections are split.
-    Shares {
-        parts: Parts,
+    SetPoolerShares {
+        parts: PoolerShares,
     },
     /// What will be reported for a window, fixed before it is sent.
-    Usage {
+    RecordUsage {
         window: u64,
         counts: BTreeMap<String, u64>,
         holder: String,
     },
     /// Who votes from here on.
-    Voters {
+    ChangeElectorate {
         electorate: Electorate,
     },
 }
@@ -64,22 +64,26 @@
         match self {
             Command::Noop => 0,
             Command::Configure { raw, by, .. } => raw.len() + by.len() + 2 * NUMBER,
-            Command::Close { service, .. } => service.len() + NUMBER,
-            Command::Name { service, target, holder, .. } => service.len() + target.len() + holder.len() + NUMBER,
-            Command::Crown { service, primary, .. } => service.len() + primary.len() + 2 * NUMBER,
-            Command::Drain { id } => id.len(),
-            Command::Shares { parts } => parts.keys().map(|name| name.len() + 2 * NUMBER).sum(),
-            Command::Usage { counts, holder, .. } => {
+            Command::CloseEpoch { service, .. } => service.len() + NUMBER,
+            Command::SelectCandidate { service, candidate, holder, .. } => {
+                service.len() + candidate.len() + holder.len() + NUMBER
+            }
+            Command::InstallPrimary { service, primary, .. } => service.len() + primary.len() + 2 * NUMBER,
+            Command::DrainInstance { id } => id.len(),
+            Command::SetPoolerShares { parts } => parts.keys().map(|name| name.len() + 2 * NUMBER).sum(),
+            Command::RecordUsage { counts, holder, .. } => {
                 counts.keys().map(|tenant| tenant.len() + NUMBER).sum::<usize>() + holder.len() + NUMBER
             }
-            Command::Voters { electorate } => (electorate.voters.len() + electorate.outgoing.len()) * 2 * NUMBER,
+            Command::ChangeElectorate { electorate } => {
+                (electorate.voters.len() + electorate.outgoing.len()) * 2 * NUMBER
+            }
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    Done,
+    Accepted,
     /// A version conflict: another version is current, or another epoch.
     Conflict {
         current: u64,
@@ -93,13 +97,13 @@
 
 /// A proposer's mark on an entry; serial 0 is the leader's own.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ProposalId {
     pub proposer: u64,
     pub serial: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Version {
+pub struct ConfigVersion {
     pub revision: u64,
     pub raw: Vec<u8>,
 }
@@ -119,14 +123,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct UsageReport {
     pub counts: BTreeMap<String, u64>,
     pub holder: String,
 }
 
 /// What one accepted configuration changed, for operators; no keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ConfigChange {
     pub revision: u64,
     pub built_on: u64,
     pub by: String,
@@ -161,9 +165,9 @@
             }
         }
         for names in [&mut difference.added, &mut difference.removed, &mut difference.changed] {
-            if names.len() > KEPT_NAMES {
-                let more = names.len() - KEPT_NAMES;
-                names.truncate(KEPT_NAMES);
+            if names.len() > NAMES_LISTED_PER_CHANGE {
+                let more = names.len() - NAMES_LISTED_PER_CHANGE;
+                names.truncate(NAMES_LISTED_PER_CHANGE);
                 names.push(format!("and {more} more"));
             }
         }
@@ -172,16 +176,16 @@
 }
 
 /// Changes of the configuration that are told of, and names in each.
-const KEPT_HISTORY: usize = 64;
-const KEPT_NAMES: usize = 20;
-/// Taken changes that a resend is known by; some 40 bytes each. Far more than are made while a resend of one may
+const CHANGE_HISTORY_KEPT: usize = 64;
+const NAMES_LISTED_PER_CHANGE: usize = 20;
+/// Taken changes that a resend is known by; some 40 bytes each. CarrierLink more than are made while a resend of one may
 /// still come.
-pub const KEPT_TAKEN: usize = 4096;
+pub const ACCEPTED_CHANGES_KEPT: usize = 4096;
 /// How many results per proposer, drains and reports are kept.
-const KEPT_RESULTS: usize = 64;
-pub const KEPT_DRAINS: usize = 256;
-const KEPT_REPORTS: usize = 16;
-const KEPT_PROPOSERS: usize = 64;
+const RESULTS_KEPT_PER_PROPOSER: usize = 64;
+pub const DRAINING_INSTANCES_KEPT: usize = 256;
+const USAGE_REPORTS_KEPT: usize = 16;
+const PROPOSERS_KEPT: usize = 64;
 
 /// Stands for a configuration as it was sent, byte by byte: no two have the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -194,41 +198,41 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ledger {
-    pub index: u64,
-    pub config: Option<Version>,
+pub struct ControlState {
+    pub applied_index: u64,
+    pub config: Option<ConfigVersion>,
     /// The changes taken, by the version that each built on: one at most on each. A resend is known by it.
-    taken: BTreeMap<u64, Fingerprint>,
+    accepted_changes: BTreeMap<u64, Fingerprint>,
     /// Changes built on versions below this are not known any more.
-    forgotten: u64,
+    oldest_known_base: u64,
     pub epochs: BTreeMap<String, Epoch>,
-    pub drains: VecDeque<String>,
-    pub parts: Parts,
-    pub reports: BTreeMap<u64, Report>,
+    pub draining_instances: VecDeque<String>,
+    pub pooler_shares: PoolerShares,
+    pub usage_reports: BTreeMap<u64, UsageReport>,
     /// The daemon that last held the usage duty.
-    pub usage_holder: Option<String>,
+    pub usage_reporter: Option<String>,
     results: VecDeque<(u64, VecDeque<(u64, Outcome)>)>,
     pub voters: Vec<Voter>,
-    pub history: VecDeque<Change>,
-    /// When each fact last changed, as a log index.
-    pub changed: BTreeMap<String, u64>,
+    pub change_history: VecDeque<ConfigChange>,
+    /// When each update last changed, as a log index.
+    pub changed_at: BTreeMap<String, u64>,
 }
 
-impl Ledger {
+impl ControlState {
     pub fn revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.revision)
     }
 
     /// The result of a proposal that was applied already.
-    pub fn result(&self, mark: Mark) -> Option<&Outcome> {
+    pub fn result(&self, mark: ProposalId) -> Option<&Outcome> {
         let (_, results) = self.results.iter().find(|(p, _)| *p == mark.proposer)?;
         results.iter().find(|(s, _)| *s == mark.serial).map(|(_, o)| o)
     }
 
     /// Applies the entry at `index`; a repeat of a proposal changes nothing.
-    pub fn apply(&mut self, index: u64, mark: Mark, command: &Command) -> Outcome {
-        debug_assert_eq!(index, self.index + 1);
-        self.index = index;
+    pub fn apply(&mut self, index: u64, mark: ProposalId, command: &Command) -> Outcome {
+        debug_assert_eq!(index, self.applied_index + 1);
+        self.applied_index = index;
         if mark.serial != 0
             && let Some(known) = self.result(mark)
         {
@@ -241,44 +245,44 @@
         outcome
     }
 
-    fn remember(&mut self, mark: Mark, outcome: Outcome) {
+    fn remember(&mut self, mark: ProposalId, outcome: Outcome) {
         let mut results = match self.results.iter().position(|(p, _)| *p == mark.proposer) {
             Some(at) => self.results.remove(at).map(|(_, r)| r).unwrap_or_default(),
             None => VecDeque::new(),
         };
         results.push_back((mark.serial, outcome));
-        if results.len() > KEPT_RESULTS {
+        if results.len() > RESULTS_KEPT_PER_PROPOSER {
             results.pop_front();
         }
         self.results.push_back((mark.proposer, results));
-        if self.results.len() > KEPT_PROPOSERS {
+        if self.results.len() > PROPOSERS_KEPT {
             self.results.pop_front();
         }
     }
 
     fn note(&mut self, key: String) {
-        self.changed.insert(key, self.index);
+        self.changed_at.insert(key, self.applied_index);
     }
 
     fn decide(&mut self, command: &Command) -> Outcome {
         match command {
             Command::Noop => {}
             Command::Configure { if_match, raw, by, at } => return self.configure(*if_match, raw, by, *at),
-            Command::Close { service, epoch } => {
+            Command::CloseEpoch { service, epoch } => {
                 let Some(e) = self.epochs.get_mut(service).filter(|e| e.epoch == *epoch) else {
                     return Outcome::Conflict { current: 0 };
                 };
                 e.closed = true;
                 self.note(format!("e/{service}"));
             }
-            Command::Name { service, epoch, target, holder } => {
+            Command::SelectCandidate { service, epoch, candidate, holder } => {
                 let Some(e) = self.epochs.get_mut(service).filter(|e| e.epoch == *epoch && e.closed) else {
                     return Outcome::Conflict { current: 0 };
                 };
-                e.named = Some(target.clone());
+                e.named = Some(candidate.clone());
                 e.holder = Some(holder.clone());
             }
-            Command::Crown { service, epoch, primary, term } => {
+            Command::InstallPrimary { service, epoch, primary, term } => {
                 let old = self.epochs.get(service);
                 if old.map_or(0, |e| e.epoch) + 1 != *epoch || old.is_some_and(|e| !e.closed || e.term > *term) {
                     return Outcome::Conflict { current: 0 };
@@ -289,52 +293,52 @@
                 self.epochs.insert(service.clone(), new);
                 self.note(format!("e/{service}"));
             }
-            Command::Drain { id } => {
-                if !self.drains.contains(id) {
-                    self.drains.push_back(id.clone());
-                    if self.drains.len() > KEPT_DRAINS
-                        && let Some(old) = self.drains.pop_front()
+            Command::DrainInstance { id } => {
+                if !self.draining_instances.contains(id) {
+                    self.draining_instances.push_back(id.clone());
+                    if self.draining_instances.len() > DRAINING_INSTANCES_KEPT
+                        && let Some(old) = self.draining_instances.pop_front()
                     {
-                        self.changed.remove(&format!("d/{old}"));
+                        self.changed_at.remove(&format!("d/{old}"));
                     }
                     self.note(format!("d/{id}"));
                 }
             }
-            Command::Shares { parts } => {
-                let old = std::mem::replace(&mut self.parts, parts.clone());
+            Command::SetPoolerShares { parts } => {
+                let old = std::mem::replace(&mut self.pooler_shares, parts.clone());
                 let names: BTreeSet<&String> = old.keys().chain(parts.keys()).collect();
                 for name in names.into_iter().filter(|n| old.get(*n) != parts.get(*n)) {
                     self.note(format!("s/{name}"));
                 }
             }
-            Command::Usage { window, counts, holder } => {
-                if self.reports.contains_key(window) {
+            Command::RecordUsage { window, counts, holder } => {
+                if self.usage_reports.contains_key(window) {
                     // What was fixed stays; only the duty changes hands.
-                    self.usage_holder = Some(holder.clone());
-                    return Outcome::Done;
+                    self.usage_reporter = Some(holder.clone());
+                    return Outcome::Accepted;
                 }
-                if self.reports.keys().next_back().is_some_and(|w| *w > *window + 3) {
+                if self.usage_reports.keys().next_back().is_some_and(|w| *w > *window + 3) {
                     return Outcome::Conflict { current: 0 };
                 }
-                self.reports.insert(*window, Report { counts: counts.clone(), holder: holder.clone() });
-                self.usage_holder = Some(holder.clone());
-                if self.reports.len() > KEPT_REPORTS {
-                    self.reports.pop_first();
+                self.usage_reports.insert(*window, UsageReport { counts: counts.clone(), holder: holder.clone() });
+                self.usage_reporter = Some(holder.clone());
+                if self.usage_reports.len() > USAGE_REPORTS_KEPT {
+                    self.usage_reports.pop_first();
                 }
             }
-            Command::Voters { electorate } => {
+            Command::ChangeElectorate { electorate } => {
                 self.voters = electorate.all();
                 self.note("q/".to_owned());
             }
         }
-        Outcome::Done
+        Outcome::Accepted
     }
 
     fn configure(&mut self, if_match: u64, raw: &[u8], by: &str, at: Duration) -> Outcome {
         let (current, fingerprint) = (self.revision(), Fingerprint::of(raw));
-        match self.taken.get(&if_match) {
-            Some(taken) if *taken == fingerprint => return Outcome::Done,
-            None if if_match < self.forgotten => return Outcome::Unknown,
+        match self.accepted_changes.get(&if_match) {
+            Some(taken) if *taken == fingerprint => return Outcome::Accepted,
+            None if if_match < self.oldest_known_base => return Outcome::Unknown,
             _ if if_match != current => return Outcome::Conflict { current },
             _ => {}
         }
@@ -347,7 +351,7 @@
         }
         let old = self.config.as_ref().and_then(|c| config::read(&c.raw).ok());
         let (routes, backends, customers) = old.map_or_else(Default::default, |o| (o.routes, o.backends, o.customers));
-        self.history.push_back(Change {
+        self.change_history.push_back(ConfigChange {
             revision: document.revision,
             built_on: current,
             by: by.to_owned(),
@@ -356,17 +360,17 @@
             backends: Difference::between(&backends, &document.backends, |b| &b.name),
             customers: Difference::between(&customers, &document.customers, |c| &c.name),
         });
-        if self.history.len() > KEPT_HISTORY {
-            self.history.pop_front();
+        if self.change_history.len() > CHANGE_HISTORY_KEPT {
+            self.change_history.pop_front();
         }
-        self.config = Some(Version { revision: document.revision, raw: raw.to_vec() });
-        self.taken.insert(if_match, fingerprint);
-        if self.taken.len() > KEPT_TAKEN
-            && let Some((oldest, _)) = self.taken.pop_first()
+        self.config = Some(ConfigVersion { revision: document.revision, raw: raw.to_vec() });
+        self.accepted_changes.insert(if_match, fingerprint);
+        if self.accepted_changes.len() > ACCEPTED_CHANGES_KEPT
+            && let Some((oldest, _)) = self.accepted_changes.pop_first()
         {
-            self.forgotten = oldest + 1;
+            self.oldest_known_base = oldest + 1;
         }
         self.note("c/".to_owned());
-        Outcome::Done
+        Outcome::Accepted
     }
 }
--- a/brood/tests/cluster/mod.rs
+++ b/engine/tests/cluster/mod.rs
@@ -1,8 +1,10 @@
-//! A few queens' logs on simulated time: links that keep order, disks that take their time.
+//! A few controllers' logs on simulated time: links that keep order, disks that take their time.
 
-use brood::process::raft::{Body, Effect, Message, Parameters, Raft, Role, Stored, Write};
-use brood::version::electorate::Voter;
-use brood::version::ledger::{Command, Ledger, Mark, Outcome};
+use lichenfield_engine::process::consensus::{
+    Effect, Message, MessageBody, Parameters, PersistentState, Raft, Role, Write,
+};
+use lichenfield_engine::version::control_state::{Command, ControlState, Outcome, ProposalId};
+use lichenfield_engine::version::electorate::Voter;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
@@ -25,12 +27,12 @@
 
 pub struct Node {
     pub raft: Option<Raft>,
-    pub disk: Stored,
-    pub ledger: Ledger,
+    pub disk: PersistentState,
+    pub control_state: ControlState,
     /// What a sync takes, and what writing a KB takes besides.
     pub sync: Duration,
     pub per_kb: Duration,
-    life: u32,
+    incarnation: u32,
     writes: VecDeque<(u64, Write)>,
     syncing: usize,
     durable: u64,
@@ -63,14 +65,14 @@
 impl Cluster {
     /// `founders` of `size` machines found the electorate; the others are off.
     pub fn new(size: usize, founders: usize, tolerance: usize) -> Self {
-        let disk = |n: usize| Stored { id: 100 + n as u64, ..Stored::default() };
+        let disk = |n: usize| PersistentState { id: 100 + n as u64, ..PersistentState::default() };
         let node = |n| Node {
             raft: None,
             disk: disk(n),
-            ledger: Ledger::default(),
+            control_state: ControlState::default(),
             sync: ms(2),
             per_kb: Duration::ZERO,
-            life: 0,
+            incarnation: 0,
             writes: VecDeque::new(),
             syncing: 0,
             durable: 0,
@@ -94,7 +96,7 @@
         let voters: Vec<Voter> = (0..founders).map(|n| Voter { id: 100 + n as u64, ip: address(n) }).collect();
         for n in 0..founders {
             cluster.start(n);
-            cluster.raft(n).found(voters.clone());
+            cluster.raft(n).bootstrap(voters.clone());
             cluster.drain(n);
         }
         cluster
@@ -119,10 +121,10 @@
         let parameters = Parameters::new(T, ms(400), self.tolerance);
         let node = &mut self.nodes[n];
         node.raft = Some(Raft::new(now, address(n), parameters, node.disk.clone(), rng));
-        node.life += 1;
-        (node.ledger, node.durable, node.syncing) = (Ledger::default(), 0, 0);
-        let life = node.life;
-        self.after(JOIN, Event::Join(n, life));
+        node.incarnation += 1;
+        (node.control_state, node.durable, node.syncing) = (ControlState::default(), 0, 0);
+        let incarnation = node.incarnation;
+        self.after(JOIN, Event::Join(n, incarnation));
         self.drain(n);
     }
 
@@ -130,7 +132,7 @@
     pub fn stop(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.raft = None;
-        node.life += 1;
+        node.incarnation += 1;
         node.writes.clear();
         node.held.clear();
     }
@@ -139,7 +141,7 @@
     pub fn wipe(&mut self, n: usize) {
         self.stop(n);
         let id = self.nodes[n].disk.id + 1000;
-        self.nodes[n].disk = Stored { id, ..Stored::default() };
+        self.nodes[n].disk = PersistentState { id, ..PersistentState::default() };
         self.start(n);
     }
 
@@ -153,19 +155,19 @@
     pub fn propose(&mut self, serial: u64, command: Command) -> bool {
         let Some(leader) = self.leader() else { return false };
         let now = self.at();
-        let taken = self.raft(leader).propose(now, Mark { proposer: 1, serial }, command).is_some();
+        let taken = self.raft(leader).propose(now, ProposalId { proposer: 1, serial }, command).is_some();
         self.drain(leader);
         taken
     }
 
     /// Whether a proposal is decided at the leader.
     pub fn decided(&self, serial: u64) -> bool {
-        self.leader().is_some_and(|l| self.nodes[l].ledger.result(Mark { proposer: 1, serial }).is_some())
+        self.leader().is_some_and(|l| self.nodes[l].control_state.result(ProposalId { proposer: 1, serial }).is_some())
     }
 
     pub fn leave(&mut self, n: usize) {
         let now = self.at();
-        self.raft(n).leave(now);
+        self.raft(n).begin_shutdown(now);
         self.drain(n);
     }
 
@@ -184,19 +186,19 @@
                     Effect::Send(to, message, after) => node.held.push((after, to, message)),
                     Effect::Restore(snapshot) => {
                         let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
-                        node.ledger = read.expect("a whole state").0;
+                        node.control_state = read.expect("a whole state").0;
                     }
                     Effect::Apply(index, entry) => {
-                        let outcome = node.ledger.apply(index, entry.mark, &entry.command);
-                        if entry.mark.proposer == 1 {
-                            node.decided.insert(entry.mark.serial, outcome);
+                        let outcome = node.control_state.apply(index, entry.proposal_id, &entry.command);
+                        if entry.proposal_id.proposer == 1 {
+                            node.decided.insert(entry.proposal_id.serial, outcome);
                         }
                     }
                     Effect::Readable(_) | Effect::Unreadable(_) => {}
                 }
             }
             if raft.wants_snapshot() {
-                let state = bincode::serde::encode_to_vec(&node.ledger, bincode::config::standard());
+                let state = bincode::serde::encode_to_vec(&node.control_state, bincode::config::standard());
                 raft.compact(state.expect("it can be written"));
             }
         }
@@ -208,23 +210,23 @@
             }
             !ready
         });
-        let (life, due) = (node.life, raft.next_due());
+        let (incarnation, due) = (node.incarnation, raft.next_due());
         if node.syncing == 0 && !node.writes.is_empty() {
             node.syncing = node.writes.len();
             let bytes: usize = node.writes.iter().map(|(_, w)| size(w)).sum();
             let takes = node.sync + node.per_kb * (bytes / 1024) as u32;
-            self.after(takes, Event::Synced(n, life));
+            self.after(takes, Event::Synced(n, incarnation));
         }
         let wait = due.saturating_duration_since(self.at()).max(ms(1));
-        self.after(wait, Event::Tick(n, life));
+        self.after(wait, Event::Tick(n, incarnation));
         for (to, message) in sends {
             let to = usize::from(to.octets()[3]) - 1;
             match &message.body {
-                Body::InstallSnapshot { bytes, .. } => {
+                MessageBody::InstallSnapshot { bytes, .. } => {
                     let sent = self.pieces.entry(to).or_default();
                     (sent.0, sent.1) = (sent.0 + bytes.len(), sent.1 + 1);
                 }
-                Body::AppendEntries { entries, .. } => *self.entries.entry(to).or_default() += entries.len(),
+                MessageBody::AppendEntries { entries, .. } => *self.entries.entry(to).or_default() += entries.len(),
                 _ => {}
             }
             let lost = self.cut.contains(&n) || self.cut.contains(&to) || self.rng.f64() < self.loss;
@@ -264,35 +266,35 @@
         match event {
             Event::Message(n, message) => {
                 if let Some(raft) = &mut self.nodes[n].raft {
-                    raft.receive(now, message);
+                    raft.handle_message(now, message);
                     self.drain(n);
                 }
             }
-            Event::Synced(n, life) => {
+            Event::Synced(n, incarnation) => {
                 let node = &mut self.nodes[n];
-                if node.life != life {
+                if node.incarnation != incarnation {
                     return;
                 }
                 for (number, write) in node.writes.drain(..node.syncing) {
-                    assert!(node.disk.take(write), "a write leaves a gap");
+                    assert!(node.disk.apply(write), "a write leaves a gap");
                     node.durable = number;
                 }
                 node.syncing = 0;
                 let durable = node.durable;
-                self.raft(n).durable(now, durable);
+                self.raft(n).on_write_durable(now, durable);
                 self.drain(n);
             }
-            Event::Tick(n, life) => {
-                if self.nodes[n].life == life && now >= self.raft(n).next_due() {
+            Event::Tick(n, incarnation) => {
+                if self.nodes[n].incarnation == incarnation && now >= self.raft(n).next_due() {
                     self.raft(n).tick(now);
                     self.drain(n);
                 }
             }
-            Event::Join(n, life) => {
-                if self.nodes[n].life != life {
+            Event::Join(n, incarnation) => {
+                if self.nodes[n].incarnation != incarnation {
                     return;
                 }
-                self.after(JOIN, Event::Join(n, life));
+                self.after(JOIN, Event::Join(n, incarnation));
                 if !self.raft(n).is_voter() {
                     for other in (0..self.nodes.len()).filter(|o| *o != n) {
                         self.raft(n).join(address(other), true);
--- a/brood/tests/config.rs
+++ b/engine/tests/config.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: what is taken and what is refused.
 
-use brood::version::config::{Kind, Quota, REVISION_MAX, quotas, read};
+use lichenfield_engine::version::config::{Kind, Quota, REVISION_MAX, quotas, read};
 use std::collections::HashMap;
 
 const GOOD: &str = r#"{"revision":7,"routes":[{"name":"r","hostname":"db","path-prefix":"/","type":"bounded",
@@ -57,7 +57,7 @@
     assert_eq!(read(numbered(&most).as_bytes()).map(|d| d.revision), Ok(REVISION_MAX));
 }
 
-/// Every queen judges a document alike: by its bytes alone.
+/// Every controller judges a document alike: by its bytes alone.
 #[test]
 fn the_verdict_on_a_document_is_the_same_each_time() {
     let route = |n: u32, service: u32| {
--- a/brood/tests/queens/orders.rs
+++ b/engine/tests/controllers/configuration_changes.rs
@@ -1,6 +1,6 @@
 //! Two operators, one number, and orders that are sent again: what becomes of each copy.
 
-use crate::core::{Core, document};
+use crate::control_plane::{Core, document};
 use std::time::Duration;
 
 /// An order whose answer was lost is acknowledged again, also when others were built on it since.
@@ -14,18 +14,18 @@
     let on_top = core.put(at[1], 3, &document(8, "b"));
     core.run(300);
     assert_eq!(core.status(on_top), Some(200));
-    for queen in 0..3 {
-        let again = core.put(queen, 0, &document(3, "a"));
+    for controller in 0..3 {
+        let again = core.put(controller, 0, &document(3, "a"));
         core.run(300);
-        assert_eq!(core.status(again), Some(200), "sent again to q{queen}");
+        assert_eq!(core.status(again), Some(200), "sent again to q{controller}");
     }
-    assert_eq!(core.royal(0).ledger().revision(), 8);
+    assert_eq!(core.controller(0).control_state().revision(), 8);
 }
 
 /// A leader that was cut off goes on pushing the order that it took until it is heard: the same order was sent
 /// elsewhere meanwhile.
 #[test]
-fn a_cut_off_queen_pushes_an_order_that_was_taken_elsewhere() {
+fn a_cut_off_controller_pushes_an_order_that_was_taken_elsewhere() {
     for on_top in [false, true] {
         let mut core = Core::new(3);
         let old = core.leader();
@@ -45,16 +45,16 @@
         core.heal();
         core.run(3000);
         assert!(matches!(core.status(here), Some(200 | 503)), "{:?}", core.status(here));
-        let ledger = core.royal(old).ledger();
-        assert_eq!(ledger.revision(), if on_top { 5 } else { 3 });
-        assert_eq!(ledger.history.len(), 1 + usize::from(on_top), "taken once");
+        let control_state = core.controller(old).control_state();
+        assert_eq!(control_state.revision(), if on_top { 5 } else { 3 });
+        assert_eq!(control_state.change_history.len(), 1 + usize::from(on_top), "taken once");
     }
 }
 
 /// The same, and another version was taken meanwhile: whoever still hears of it is told of the conflict, and the
 /// order does not come into force.
 #[test]
-fn a_cut_off_queen_pushes_an_order_that_lost_its_race() {
+fn a_cut_off_controller_pushes_an_order_that_lost_its_race() {
     let mut core = Core::new(3);
     let old = core.leader();
     core.cut(&[old]);
@@ -69,9 +69,9 @@
     core.heal();
     core.run(3000);
     assert!(matches!(core.status(here), Some(412 | 503)), "{:?}", core.status(here));
-    for queen in 0..3 {
-        let config = core.royal(queen).ledger().config.as_ref().map(|c| c.raw.clone());
-        assert_eq!(config, Some(document(3, "b")), "q{queen}");
+    for controller in 0..3 {
+        let config = core.controller(controller).control_state().config.as_ref().map(|c| c.raw.clone());
+        assert_eq!(config, Some(document(3, "b")), "q{controller}");
     }
 }
 
@@ -86,12 +86,12 @@
         let mut told = [core.status(first), core.status(second)];
         told.sort();
         assert_eq!(told, if same { [Some(200), Some(200)] } else { [Some(200), Some(412)] });
-        assert_eq!(core.royal(2).ledger().history.len(), 1);
+        assert_eq!(core.controller(2).control_state().change_history.len(), 1);
     }
 }
 
 /// An order that builds on one still under way is not refused: what it builds on may be taken at any moment, and
-/// a copy of it that a cut-off queen pushes later would come into force after its operator was told no.
+/// a copy of it that a cut-off controller pushes later would come into force after its operator was told no.
 #[test]
 fn an_order_on_a_version_not_known_yet_waits_for_it() {
     let mut core = Core::new(3);
@@ -111,11 +111,11 @@
     assert_eq!(core.status(never), None);
     core.run(1500);
     assert_eq!(core.status(never), Some(503), "a bounded wait");
-    let last = core.royal(core.leader()).raft().last_index();
+    let last = core.controller(core.leader()).raft().last_index();
     assert!(last < 20, "a waiting order leaves the log alone: {last} entries");
 }
 
-/// The harm that it would do: refused at one queen, taken from another.
+/// The harm that it would do: refused at one controller, taken from another.
 #[test]
 fn no_copy_comes_into_force_of_an_order_that_was_refused() {
     let mut core = Core::new(3);
@@ -131,7 +131,7 @@
     core.run(5000);
     assert_eq!(core.status(first), Some(200));
     let refused = [copy, again].iter().any(|t| core.status(*t).is_some_and(|s| (400..500).contains(&s)));
-    assert!(!refused || core.royal(0).ledger().revision() == 3, "refused, and in force");
+    assert!(!refused || core.controller(0).control_state().revision() == 3, "refused, and in force");
 }
 
 /// What was taken is known from snapshots too, hundreds of changes and a restart of everybody later.
@@ -143,14 +143,14 @@
         core.put(leader, n, &document(n + 1, "a"));
         core.run(20);
     }
-    for queen in 0..3 {
-        core.stop(queen);
+    for controller in 0..3 {
+        core.stop(controller);
     }
-    for queen in 0..3 {
-        core.restart(queen);
+    for controller in 0..3 {
+        core.restart(controller);
     }
     core.run(2000);
-    assert_eq!(core.royal(0).ledger().revision(), 450);
+    assert_eq!(core.controller(0).control_state().revision(), 450);
     let again: Vec<_> = [0, 7, 300].map(|n| core.put((n % 3) as usize, n, &document(n + 1, "a"))).into();
     core.run(300);
     assert!(again.iter().all(|t| core.status(*t) == Some(200)), "{:?}", again.iter().map(|t| core.status(*t)));
@@ -166,7 +166,7 @@
         core.freeze(old);
         core.run(1500);
         let other = core.leader();
-        let taken_already = core.royal(other).ledger().revision() == 3;
+        let taken_already = core.controller(other).control_state().revision() == 3;
         if lost && !taken_already {
             core.put(other, 0, &document(3, "b"));
             core.run(200);
@@ -177,7 +177,8 @@
         core.tick(old);
         core.read(old, unread);
         core.run(5000);
-        let taken = core.royal(other).ledger().config.as_ref().map(|c| c.raw.clone()) == Some(document(3, "a"));
+        let taken =
+            core.controller(other).control_state().config.as_ref().map(|c| c.raw.clone()) == Some(document(3, "a"));
         for copy in [here, again] {
             let right: &[u16] = if taken { &[200, 503] } else { &[412, 503] };
             assert!(core.status(copy).is_some_and(|s| right.contains(&s)), "{:?}, taken {taken}", core.status(copy));
@@ -221,7 +222,7 @@
     assert_ne!(core.leader(), old, "another leads within 60 ms");
     core.run(60);
     assert_eq!([taken, on_its_way].map(|t| core.status(t)), [Some(200); 2]);
-    assert!(core.royal(old).may_end() || core.royal(old).raft().is_voter());
+    assert!(core.controller(old).may_end() || core.controller(old).raft().is_voter());
     core.run(1000);
-    assert!(core.royal(old).may_end());
+    assert!(core.controller(old).may_end());
 }
--- /dev/null
+++ b/engine/tests/controllers/main.rs
@@ -0,0 +1,5 @@
+//! Controllers among each other, on simulated time.
+
+mod configuration_changes;
+mod control_plane;
+mod quorum_contact;
--- a/brood/tests/log.rs
+++ b/engine/tests/log_compaction.rs
@@ -2,12 +2,12 @@
 
 mod cluster;
 
-use brood::version::ledger::Command;
 use cluster::{Cluster, T, ms};
+use lichenfield_engine::version::control_state::Command;
 use std::time::Duration;
 
 fn drain(n: u64) -> Command {
-    Command::Drain { id: format!("i-{n}") }
+    Command::DrainInstance { id: format!("i-{n}") }
 }
 
 /// A configuration of about so many bytes, on top of the version before.
@@ -25,7 +25,7 @@
 }
 
 fn level(cluster: &Cluster, n: usize) -> bool {
-    let index = |n: usize| cluster.nodes[n].ledger.index;
+    let index = |n: usize| cluster.nodes[n].control_state.applied_index;
     cluster.leader().is_some_and(|l| index(l) == index(n))
 }
 
@@ -44,7 +44,7 @@
     }
     cluster.run(ms(300));
     let leader = cluster.leader().expect("a leader");
-    assert!(cluster.raft(leader).kept().0 > 390, "a snapshot was taken meanwhile");
+    assert!(cluster.raft(leader).retained_log().0 > 390, "a snapshot was taken meanwhile");
     cluster.cut.clear();
     cluster.entries.clear();
     assert!(cluster.until(ms(1000), |c| level(c, behind)));
@@ -69,7 +69,7 @@
         // One whole configuration; with losses somewhat more.
         assert!(bytes < if loss > 0.0 { 1_300_000 } else { 700_000 }, "{bytes} bytes with a loss of {loss}");
         let leader = cluster.leader().expect("a leader");
-        assert_eq!(cluster.nodes[3].ledger, cluster.nodes[leader].ledger);
+        assert_eq!(cluster.nodes[3].control_state, cluster.nodes[leader].control_state);
     }
 }
 
@@ -93,7 +93,7 @@
         if admitted.is_none() && voters(&cluster).contains(&103) {
             admitted = Some(revision);
         }
-        let (_, entries) = cluster.leader().map(|l| cluster.raft(l).kept()).expect("a leader");
+        let (_, entries) = cluster.leader().map(|l| cluster.raft(l).retained_log()).expect("a leader");
         assert!(entries < 80, "{entries} entries kept of 256 KB each");
     }
     // It came at 30, 2.4 s and fewer than 30 changes later it votes.
--- a/brood/tests/model/disk.rs
+++ b/engine/tests/model/disk.rs
@@ -1,9 +1,9 @@
-//! A queen's disk: what is synced, what is only written, what waits to be written.
+//! A controller's disk: what is synced, what is only written, what waits to be written.
 
 use super::schedule::Kept;
-use brood::process::raft::{Entry, Stored, Write};
-use brood::version::electorate::{Electorate, Voter, VoterId};
-use brood::version::ledger::Command;
+use lichenfield_engine::process::consensus::{Entry, PersistentState, Write};
+use lichenfield_engine::version::control_state::Command;
+use lichenfield_engine::version::electorate::{Electorate, Voter, VoterId};
 use std::collections::VecDeque;
 
 /// Looking into what is stored: the only place that knows how the log and the snapshot lie there.
@@ -22,7 +22,7 @@
     }
 }
 
-impl Log for Stored {
+impl Log for PersistentState {
     fn last(&self) -> u64 {
         self.base_index + self.log.len() as u64
     }
@@ -51,7 +51,7 @@
 
 fn elects(entry: Option<&Entry>) -> Option<&Electorate> {
     match &entry?.command {
-        Command::Voters { electorate } => Some(electorate),
+        Command::ChangeElectorate { electorate } => Some(electorate),
         _ => None,
     }
 }
@@ -59,9 +59,9 @@
 #[derive(Debug)]
 pub struct Disk {
     /// What no loss of power takes.
-    pub synced: Stored,
-    /// What the queen believes that it has written: its memory.
-    pub memory: Stored,
+    pub synced: PersistentState,
+    /// What the controller believes that it has written: its memory.
+    pub memory: PersistentState,
     /// Writes that are not synced, and how many of them are with the disk.
     queue: VecDeque<(u64, Write)>,
     with_disk: usize,
@@ -70,10 +70,10 @@
 
 impl Disk {
     pub fn new(id: VoterId) -> Self {
-        Disk::holding(Stored { id, ..Stored::default() })
+        Disk::holding(PersistentState { id, ..PersistentState::default() })
     }
 
-    fn holding(stored: Stored) -> Self {
+    fn holding(stored: PersistentState) -> Self {
         Disk { memory: stored.clone(), synced: stored, queue: VecDeque::new(), with_disk: 0, syncs: 0 }
     }
 
@@ -92,7 +92,7 @@
 
     /// False if the write does not fit what is there.
     pub fn write(&mut self, number: u64, write: Write) -> bool {
-        let fits = self.memory.take(write.clone());
+        let fits = self.memory.apply(write.clone());
         self.queue.push_back((number, write));
         fits
     }
@@ -115,7 +115,7 @@
     pub fn end_sync(&mut self) -> Option<u64> {
         let mut durable = None;
         for (number, write) in self.queue.drain(..self.with_disk) {
-            self.synced.take(write);
+            self.synced.apply(write);
             durable = Some(number);
         }
         self.with_disk = 0;
@@ -130,7 +130,7 @@
             Kept::First(n) => n.min(self.with_disk),
         };
         for (_, write) in self.queue.drain(..).take(kept) {
-            self.synced.take(write);
+            self.synced.apply(write);
         }
         self.with_disk = 0;
         self.memory = self.synced.clone();
--- a/brood/tests/model/judge.rs
+++ b/engine/tests/model/judge.rs
@@ -1,13 +1,13 @@
-//! The judge of the log. It sees what the queens write, apply, commit and tell, and holds it against
+//! The judge of the log. It sees what the controllers write, apply, commit and tell, and holds it against
 //! Raft's safety properties and against what an acknowledgement promises.
 
 use super::disk::{Disk, Log};
 use super::node::encode;
 use super::schedule::Slot;
-use brood::process::raft::{Entry, Role, Snapshot, Stored, Write};
-use brood::process::repair::digest;
-use brood::version::electorate::{Electorate, VoterId};
-use brood::version::ledger::{Command, Ledger, Outcome};
+use lichenfield_engine::digest::digest;
+use lichenfield_engine::process::consensus::{Entry, PersistentState, Role, Snapshot, Write};
+use lichenfield_engine::version::control_state::{Command, ControlState, Outcome};
+use lichenfield_engine::version::electorate::{Electorate, VoterId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -18,27 +18,27 @@
     pub what: String,
 }
 
-pub type Verdict = Result<(), Violation>;
+pub type RequestError = Result<(), Violation>;
 
-pub fn broken(kind: &'static str, what: String) -> Verdict {
+pub fn broken(kind: &'static str, what: String) -> RequestError {
     Err(Violation { kind, what })
 }
 
-/// What the judge sees of a running queen after a turn.
-pub struct Seen<'a> {
+/// What the judge sees of a running controller after a turn.
+pub struct HealthCheckState<'a> {
     pub slot: Slot,
-    pub life: u32,
+    pub incarnation: u32,
     pub role: Role,
     pub term: u64,
     pub commit: u64,
     pub electorate: &'a Electorate,
     pub confirmed: bool,
     pub current: bool,
-    pub ledger: &'a Ledger,
+    pub control_state: &'a ControlState,
     pub disk: &'a Disk,
 }
 
-/// A disk that exists, by whether its queen runs.
+/// A disk that exists, by whether its controller runs.
 pub struct Held<'a> {
     pub running: bool,
     /// Whether it may vote, as far as the contract goes; its loss is one of those to be borne.
@@ -50,7 +50,7 @@
 
 impl Held<'_> {
     /// What stands in its way when it votes or stands now.
-    fn log(&self) -> &Stored {
+    fn log(&self) -> &PersistentState {
         if self.running { &self.disk.memory } else { &self.disk.synced }
     }
 }
@@ -58,7 +58,7 @@
 /// A newcomer, when admitted, lacks at most so many of the entries that were committed a while before.
 const ADMITTED_LACKS: u64 = 4;
 const ADMITTED_WHILE: Duration = Duration::from_secs(1);
-/// No message is longer on its way; one that comes to a queen's next life tells of a time before it.
+/// No message is longer on its way; one that comes to a controller's next incarnation tells of a time before it.
 const ON_THE_WAY: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
@@ -73,7 +73,7 @@
     /// Its electorate after its last turn.
     electorate: Electorate,
     current: bool,
-    /// What clients had been told when this life began, or a little before.
+    /// What clients had been told when this incarnation began, or a little before.
     told: u64,
 }
 
@@ -87,7 +87,7 @@
     committed_at: Vec<Duration>,
     /// The terms in which entries were committed; an entry's own may be lower.
     committed_in: Vec<u64>,
-    reference: Ledger,
+    reference: ControlState,
     /// The configurations that were taken, in order.
     pub chain: Vec<Vec<u8>>,
     outcomes: Vec<Outcome>,
@@ -99,7 +99,7 @@
     pub told: u64,
     told_at: Vec<(Duration, u64)>,
     /// What was durable on the disks that are gone.
-    graves: Vec<Stored>,
+    graves: Vec<PersistentState>,
     pub counts: Counts,
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-fn holds(stored: &Stored, index: u64, term: u64) -> bool {
+fn holds(stored: &PersistentState, index: u64, term: u64) -> bool {
     stored.snapshot.index >= index || stored.term_at(index) == Some(term)
 }
 
@@ -173,8 +173,8 @@
         self.graves.push(disk.synced.clone());
     }
 
-    /// A queen wrote; `memory` is its log with the write in it.
-    pub fn wrote(&mut self, memory: &Stored, write: &Write) -> Verdict {
+    /// A controller wrote; `memory` is its log with the write in it.
+    pub fn wrote(&mut self, memory: &PersistentState, write: &Write) -> RequestError {
         self.counts.truncated += usize::from(write.truncate.is_some());
         for (index, _) in &write.entries {
             let Some(entry) = memory.entry(*index) else { continue };
@@ -188,7 +188,7 @@
             if known_before.is_none() {
                 *known_before = before;
             }
-            if let Command::Voters { electorate: new } = &entry.command {
+            if let Command::ChangeElectorate { electorate: new } = &entry.command {
                 let old = memory.electorate_before(*index);
                 // A learner that was sent its first entry knew of no electorate.
                 if !old.is_empty() && !follows(old, new) {
@@ -205,7 +205,7 @@
     }
 
     /// A snapshot holds what is committed up to its index, whoever wrote it or restores it.
-    fn snapshot_fits(&self, snapshot: &Snapshot) -> Verdict {
+    fn snapshot_fits(&self, snapshot: &Snapshot) -> RequestError {
         let index = snapshot.index;
         if index == 0 {
             return Ok(());
@@ -224,28 +224,28 @@
         Ok(())
     }
 
-    pub fn restored(&mut self, slot: Slot, snapshot: &Snapshot) -> Verdict {
+    pub fn restored(&mut self, slot: Slot, snapshot: &Snapshot) -> RequestError {
         self.counts.restored += 1;
         self.snapshot_fits(snapshot)?;
-        let life = self.lives.entry(slot).or_default();
-        if snapshot.index < life.applied {
-            let what = format!("{slot} had applied {} and restores {}", life.applied, snapshot.index);
+        let incarnation = self.lives.entry(slot).or_default();
+        if snapshot.index < incarnation.applied {
+            let what = format!("{slot} had applied {} and restores {}", incarnation.applied, snapshot.index);
             return broken("a state went back", what);
         }
-        life.applied = snapshot.index;
+        incarnation.applied = snapshot.index;
         Ok(())
     }
 
-    pub fn applied(&mut self, now: Duration, by: (Slot, u64), applied: (u64, &Entry, &Outcome)) -> Verdict {
+    pub fn applied(&mut self, now: Duration, by: (Slot, u64), applied: (u64, &Entry, &Outcome)) -> RequestError {
         let ((slot, term), (index, entry, outcome)) = (by, applied);
-        let life = self.lives.entry(slot).or_default();
-        if index != life.applied + 1 {
-            return broken("a state went back", format!("{slot} applied {index} after {}", life.applied));
+        let incarnation = self.lives.entry(slot).or_default();
+        if index != incarnation.applied + 1 {
+            return broken("a state went back", format!("{slot} applied {index} after {}", incarnation.applied));
         }
-        life.applied = index;
+        incarnation.applied = index;
         if index as usize == self.committed.len() + 1 {
             let revision = self.reference.revision();
-            let decided = self.reference.apply(index, entry.mark, &entry.command);
+            let decided = self.reference.apply(index, entry.proposal_id, &entry.command);
             if let Some(version) = self.reference.config.as_ref().filter(|v| v.revision != revision) {
                 self.chain.push(version.raw.clone());
             }
@@ -254,7 +254,7 @@
             self.committed.push(entry.clone());
             self.committed_at.push(now);
             self.committed_in.push(term);
-            if let Command::Voters { electorate } = &entry.command {
+            if let Command::ChangeElectorate { electorate } = &entry.command {
                 self.electorates.push((index, electorate.clone()));
             }
         }
@@ -267,9 +267,9 @@
         }
     }
 
-    /// Looks at a queen after its turn.
-    pub fn look(&mut self, now: Duration, seen: &Seen, confirm: Duration) -> Verdict {
-        let Seen { slot, life, .. } = *seen;
+    /// Looks at a controller after its turn.
+    pub fn look(&mut self, now: Duration, seen: &HealthCheckState, confirm: Duration) -> RequestError {
+        let HealthCheckState { slot, incarnation, .. } = *seen;
         let id = seen.disk.id();
         let known = self.lives.entry(slot).or_default();
         if seen.commit < known.commit {
@@ -282,10 +282,10 @@
         known.commit = seen.commit;
         if seen.current && !known.current {
             known.current = true;
-            if seen.ledger.index < known.told {
+            if seen.control_state.applied_index < known.told {
                 let what = format!(
                     "{slot} holds itself current at {}, and {} was told before it began",
-                    seen.ledger.index, known.told
+                    seen.control_state.applied_index, known.told
                 );
                 return broken("current too early", what);
             }
@@ -297,8 +297,8 @@
         }
         if seen.role == Role::Leader && known.leads != seen.term {
             known.leads = seen.term;
-            let (who, whose, _) = *self.leaders.entry(seen.term).or_insert((id, life, now));
-            if (who, whose) != (id, life) {
+            let (who, whose, _) = *self.leaders.entry(seen.term).or_insert((id, incarnation, now));
+            if (who, whose) != (id, incarnation) {
                 return broken("two leaders in a term", format!("{who:x} and {id:x} in term {}", seen.term));
             }
             for index in seen.disk.memory.snapshot.index + 1..=self.committed.len() as u64 {
@@ -316,11 +316,11 @@
             let what = format!("{slot} counts as confirmed in term {}, {term} began at {began:?}", seen.term);
             return broken("confirmed beside a successor", what);
         }
-        if advanced && seen.ledger.index > 0 {
-            let states = &self.states[seen.ledger.index as usize - 1];
-            let sampled = seen.ledger.index.is_multiple_of(8);
-            if sampled && digest(&encode(seen.ledger)) != *states {
-                return broken("states differ", format!("{slot} at {}", seen.ledger.index));
+        if advanced && seen.control_state.applied_index > 0 {
+            let states = &self.states[seen.control_state.applied_index as usize - 1];
+            let sampled = seen.control_state.applied_index.is_multiple_of(8);
+            if sampled && digest(&encode(seen.control_state)) != *states {
+                return broken("states differ", format!("{slot} at {}", seen.control_state.applied_index));
             }
         }
         Ok(())
@@ -328,10 +328,10 @@
 
     /// A leader's commit moved: a majority of its voters, and more than the tolerance, hold it on disk.
     /// The electorate may have changed in the same turn, after the commit.
-    pub fn committed_durably(&mut self, seen: &Seen, disks: &[Held], tolerance: usize) -> Verdict {
-        let life = self.lives.entry(seen.slot).or_default();
-        let before = std::mem::replace(&mut life.electorate, seen.electorate.clone());
-        let advanced = seen.commit > std::mem::replace(&mut life.durably, seen.commit);
+    pub fn committed_durably(&mut self, seen: &HealthCheckState, disks: &[Held], tolerance: usize) -> RequestError {
+        let incarnation = self.lives.entry(seen.slot).or_default();
+        let before = std::mem::replace(&mut incarnation.electorate, seen.electorate.clone());
+        let advanced = seen.commit > std::mem::replace(&mut incarnation.durably, seen.commit);
         let Some(term) = self.committed_term(seen.commit) else { return Ok(()) };
         if seen.role != Role::Leader || !advanced {
             return Ok(());
@@ -350,7 +350,7 @@
     }
 
     /// A leader wrote an electorate: whoever is new in it had caught up.
-    pub fn admitted(&self, now: Duration, memory: &Stored, disks: &[Held]) -> Verdict {
+    pub fn admitted(&self, now: Duration, memory: &PersistentState, disks: &[Held]) -> RequestError {
         let (index, electorate) = memory.electorate();
         if index == 0 {
             return Ok(());
@@ -368,7 +368,7 @@
     }
 
     /// Electorates by which somebody leads, or could be elected now, have no disjoint majorities.
-    pub fn electorates_overlap(&self, disks: &[Held]) -> Verdict {
+    pub fn electorates_overlap(&self, disks: &[Held]) -> RequestError {
         let mut in_use: Vec<&Electorate> = Vec::new();
         for held in disks {
             let log = held.log();
@@ -389,7 +389,7 @@
     }
 
     /// Were all power lost now, only one that holds what was told could be elected.
-    pub fn told_is_kept(&self, disks: &[Held]) -> Verdict {
+    pub fn told_is_kept(&self, disks: &[Held]) -> RequestError {
         let Some(term) = self.committed_term(self.told) else { return Ok(()) };
         for held in disks {
             if !holds(&held.disk.synced, self.told, term)
@@ -403,7 +403,7 @@
     }
 
     /// Whichever `more` disks are lost now, somebody can be elected, and holds what was told.
-    pub fn told_survives(&self, disks: &[Held], more: usize) -> Verdict {
+    pub fn told_survives(&self, disks: &[Held], more: usize) -> RequestError {
         let Some(term) = self.committed_term(self.told) else { return Ok(()) };
         let quorum = (0..disks.len()).filter(|at| disks[*at].in_quorum).fold(0u32, |set, at| set | 1 << at);
         for lost in (0u32..1 << disks.len()).filter(|s| s & !quorum == 0 && s.count_ones() as usize == more) {
@@ -435,18 +435,19 @@
         self.electorates.last().map(|(_, e)| e)
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn control_state(&self) -> &ControlState {
         &self.reference
     }
 
-    /// At rest: this queen has everything, and its state is the others'.
-    pub fn caught_up(&self, seen: &Seen) -> Verdict {
+    /// At rest: this controller has everything, and its state is the others'.
+    pub fn caught_up(&self, seen: &HealthCheckState) -> RequestError {
         let all = self.committed.len() as u64;
-        if seen.ledger.index != all || !seen.current {
-            let what = format!("{} is at {} of {all}, current: {}", seen.slot, seen.ledger.index, seen.current);
+        if seen.control_state.applied_index != all || !seen.current {
+            let what =
+                format!("{} is at {} of {all}, current: {}", seen.slot, seen.control_state.applied_index, seen.current);
             return broken("not caught up", what);
         }
-        if digest(&encode(seen.ledger)) != self.states.last().copied().unwrap_or(0) && all > 0 {
+        if digest(&encode(seen.control_state)) != self.states.last().copied().unwrap_or(0) && all > 0 {
             return broken("states differ", format!("{} at the end, {all}", seen.slot));
         }
         Ok(())
@@ -454,11 +455,15 @@
 }
 
 /// Whether a majority of the log's own electorate would vote for one who holds it.
-fn electable<'a>(log: &Stored, disks: &'a [Held<'a>], of: impl Fn(&'a Held<'a>) -> &'a Stored) -> bool {
+fn electable<'a>(
+    log: &PersistentState,
+    disks: &'a [Held<'a>],
+    of: impl Fn(&'a Held<'a>) -> &'a PersistentState,
+) -> bool {
     electable_of(log, disks.iter().map(of))
 }
 
-fn electable_of<'a>(log: &Stored, others: impl Iterator<Item = &'a Stored>) -> bool {
+fn electable_of<'a>(log: &PersistentState, others: impl Iterator<Item = &'a PersistentState>) -> bool {
     let electorate = log.electorate().1;
     let (term, last) = (log.last_term(), log.last());
     let votes: BTreeSet<VoterId> = others.filter(|s| s.yields_to(term, last)).map(|s| s.id).collect();
--- a/brood/tests/model/main.rs
+++ b/engine/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! A model test of the log: the real `Raft`, `Ledger` and `Stored` in a simulated world, under schedules
+//! A model test of the log: the real `Raft`, `ControlState` and `PersistentState` in a simulated world, under schedules
 //! drawn from seeds.
 //!
 //! The explorer is our own. `proptest-state-machine` was weighed: it draws all transitions before the
@@ -8,19 +8,19 @@
 //! recorded instead, by the names of what each fate befalls, and shrunk by leaving parts of it out
 //! (`schedule.rs`). No dependency is added.
 //!
-//! `MODEL_RUNS=20000 cargo test -p brood --test model explore -- --nocapture` explores more;
+//! `MODEL_RUNS=20000 cargo test -p lichenfield-engine --test model explore -- --nocapture` explores more;
 //! `MODEL_SEED` begins at another seed, `MODEL_THREADS` says on how many threads, `MODEL_SHRINK` how many runs
 //! are spent on shrinking, and `MODEL_TELL` prints the shrunk run step by step.
 
-mod by_hand;
 mod disk;
 mod judge;
-mod known;
+mod known_faults;
 mod network;
 mod node;
 mod register;
 mod schedule;
 mod world;
+mod written_schedules;
 
 use judge::{Counts, Violation};
 use schedule::Schedule;
--- a/brood/tests/model/network.rs
+++ b/engine/tests/model/network.rs
@@ -1,18 +1,18 @@
 //! Links between machines: every message has a default delay, and may have a fate.
 
 use super::schedule::{Fate, Schedule, Slot, Thing, Weather, ms};
-use brood::process::raft::Message;
-use brood::version::ledger::{Command, Mark, Outcome};
+use lichenfield_engine::process::consensus::Message;
+use lichenfield_engine::version::control_state::{Command, Outcome, ProposalId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What queens say to each other; the part of `Dance` that matters here.
+/// What controllers say to each other; the part of `PeerMessage` that matters here.
 #[derive(Debug, Clone)]
 pub enum Wire {
     Raft(Message),
-    Propose { mark: Mark, command: Command },
-    Heard { mark: Mark },
-    Decided { mark: Mark, outcome: Outcome },
+    Propose { mark: ProposalId, command: Command },
+    Heard { mark: ProposalId },
+    Decided { mark: ProposalId, outcome: Outcome },
 }
 
 /// Spreads numbers; a default that hangs on nothing but what it is for.
--- a/brood/tests/model/node.rs
+++ b/engine/tests/model/node.rs
@@ -1,14 +1,14 @@
-//! A queen's process: the real `Raft` and `Ledger`, driven as `Royal` drives them.
+//! A controller's process: the real `Raft` and `ControlState`, driven as `Controller` drives them.
 
 use super::network::Wire;
-use brood::process::raft::{Effect, Entry, Parameters, Raft, Role, Snapshot, Stored, Write};
-use brood::version::electorate::VoterId;
-use brood::version::ledger::{Command, Ledger, Mark, Outcome, Version};
+use lichenfield_engine::process::consensus::{Effect, Entry, Parameters, PersistentState, Raft, Role, Snapshot, Write};
+use lichenfield_engine::version::control_state::{Command, ConfigVersion, ControlState, Outcome, ProposalId};
+use lichenfield_engine::version::electorate::VoterId;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-/// As in `Royal`.
+/// As in `Controller`.
 const HEARD_TIMER: Duration = Duration::from_millis(150);
 const DECIDED_TIMER: Duration = Duration::from_millis(900);
 const ANSWER_BY: Duration = Duration::from_millis(4000);
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone)]
 pub enum Answer {
     Decided(Outcome),
-    Read(Option<Version>),
-    /// Ask there.
-    Elsewhere(Ipv4Addr),
+    Read(Option<ConfigVersion>),
+    /// LeaseRequest there.
+    NotLeader(Ipv4Addr),
     Unclear,
 }
 
@@ -48,7 +48,7 @@
 
 pub struct Node {
     pub raft: Raft,
-    pub ledger: Ledger,
+    pub control_state: ControlState,
     id: VoterId,
     ip: Ipv4Addr,
     in_quorum: bool,
@@ -62,7 +62,7 @@
     out: Vec<Out>,
 }
 
-/// How a queen is set up.
+/// How a controller is set up.
 pub struct Setup {
     pub ip: Ipv4Addr,
     pub parameters: Parameters,
@@ -72,13 +72,13 @@
 }
 
 impl Node {
-    pub fn new(now: Instant, stored: Stored, mut setup: Setup) -> Self {
+    pub fn new(now: Instant, stored: PersistentState, mut setup: Setup) -> Self {
         let proposer = setup.rng.u64(1..);
         let id = stored.id;
         let raft = Raft::new(now, setup.ip, setup.parameters, stored, setup.rng.fork());
         Node {
             raft,
-            ledger: Ledger::default(),
+            control_state: ControlState::default(),
             id,
             ip: setup.ip,
             in_quorum: setup.in_quorum,
@@ -106,7 +106,7 @@
                 if self.raft.compactable() <= self.log_kept {
                     return std::mem::take(&mut self.out);
                 }
-                let state = encode(&self.ledger);
+                let state = encode(&self.control_state);
                 self.raft.compact(state);
                 continue;
             }
@@ -123,13 +123,13 @@
             Effect::Restore(snapshot) => {
                 if !snapshot.state.is_empty() {
                     let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
-                    (self.ledger, _) = read.expect("a snapshot can be read");
+                    (self.control_state, _) = read.expect("a snapshot can be read");
                 }
                 self.out.push(Out::Restored(snapshot));
             }
             Effect::Apply(index, entry) => {
-                let outcome = self.ledger.apply(index, entry.mark, &entry.command);
-                let mark = entry.mark;
+                let outcome = self.control_state.apply(index, entry.proposal_id, &entry.command);
+                let mark = entry.proposal_id;
                 self.out.push(Out::Applied(index, entry, outcome.clone()));
                 if mark.proposer == self.proposer {
                     self.decided(mark, &outcome);
@@ -137,7 +137,7 @@
             }
             Effect::Readable(token) => {
                 if let Some(call) = self.reads.remove(&token) {
-                    self.out.push(Out::Answer(call, Answer::Read(self.ledger.config.clone())));
+                    self.out.push(Out::Answer(call, Answer::Read(self.control_state.config.clone())));
                 }
             }
             Effect::Unreadable(token) => {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn decided(&mut self, mark: Mark, outcome: &Outcome) {
+    fn decided(&mut self, mark: ProposalId, outcome: &Outcome) {
         if let Some(proposal) = self.proposals.remove(&mark.serial) {
             self.out.push(Out::Answer(proposal.call, Answer::Decided(outcome.clone())));
         }
@@ -182,12 +182,12 @@
 
     pub fn receive(&mut self, now: Instant, from: Ipv4Addr, wire: Wire) {
         match wire {
-            Wire::Raft(message) => self.raft.receive(now, message),
+            Wire::Raft(message) => self.raft.handle_message(now, message),
             Wire::Propose { mark, command } => {
                 if self.raft.role() != Role::Leader {
                     return;
                 }
-                if let Some(outcome) = self.ledger.result(mark).cloned() {
+                if let Some(outcome) = self.control_state.result(mark).cloned() {
                     self.out.push(Out::Send(from, Wire::Decided { mark, outcome }, 0));
                 } else if self.raft.propose(now, mark, command).is_some() {
                     self.out.push(Out::Send(from, Wire::Heard { mark }, 0));
@@ -220,7 +220,7 @@
     fn push_proposals(&mut self, now: Instant) {
         let due: Vec<u64> = self.proposals.iter().filter(|(_, p)| now >= p.due).map(|(s, _)| *s).collect();
         for serial in due {
-            let mark = Mark { proposer: self.proposer, serial };
+            let mark = ProposalId { proposer: self.proposer, serial };
             let Some(proposal) = self.proposals.get_mut(&serial) else { continue };
             if now >= proposal.by {
                 let call = proposal.call;
@@ -248,13 +248,13 @@
             return;
         }
         let answer = match self.raft.leader().filter(|l| l.ip != self.ip) {
-            Some(leader) => Answer::Elsewhere(leader.ip),
+            Some(leader) => Answer::NotLeader(leader.ip),
             None => Answer::Unclear,
         };
         self.out.push(Out::Answer(call, answer));
     }
 }
 
-pub fn encode(ledger: &Ledger) -> Vec<u8> {
-    bincode::serde::encode_to_vec(ledger, bincode::config::standard()).expect("a ledger can be written")
+pub fn encode(control_state: &ControlState) -> Vec<u8> {
+    bincode::serde::encode_to_vec(control_state, bincode::config::standard()).expect("a control_state can be written")
 }
--- a/brood/tests/model/register.rs
+++ b/engine/tests/model/register.rs
@@ -3,9 +3,9 @@
 //! call began, and the changes that were taken form one chain. Calls without a clear answer may have
 //! been taken or not. It sees only what clients see.
 
-use super::judge::{Verdict, Violation, broken};
+use super::judge::{RequestError, Violation, broken};
 use super::node::{Answer, Call};
-use brood::version::ledger::{Command, KEPT_DRAINS, Outcome, Version};
+use lichenfield_engine::version::control_state::{Command, ConfigVersion, DRAINING_INSTANCES_KEPT, Outcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -90,7 +90,7 @@
     pub fn drain(&mut self) -> (Call, Command) {
         self.drains += 1;
         let id = format!("i{}", self.drains);
-        (self.begin(Kind::Drain { id: id.clone() }), Command::Drain { id })
+        (self.begin(Kind::Drain { id: id.clone() }), Command::DrainInstance { id })
     }
 
     pub fn read(&mut self) -> Call {
@@ -108,7 +108,7 @@
     pub fn answered(&mut self, call: Call, answer: Answer) -> Result<Option<Kind>, Violation> {
         let Some(open) = self.open.remove(&call) else { return Ok(None) };
         match (&open.kind, answer) {
-            (Kind::Put { order, operator, .. }, Answer::Decided(Outcome::Done)) => {
+            (Kind::Put { order, operator, .. }, Answer::Decided(Outcome::Accepted)) => {
                 self.taken(*order)?;
                 let revision = self.puts[*order].revision;
                 let known = &mut self.operators[*operator].0;
@@ -135,7 +135,7 @@
         }
     }
 
-    fn taken(&mut self, order: Order) -> Verdict {
+    fn taken(&mut self, order: Order) -> RequestError {
         let put = &mut self.puts[order];
         if put.acked {
             return Ok(());
@@ -160,7 +160,7 @@
         }
     }
 
-    fn refused(&mut self, order: Order, acked_before: bool, floor: u64, current: u64) -> Verdict {
+    fn refused(&mut self, order: Order, acked_before: bool, floor: u64, current: u64) -> RequestError {
         let put = &mut self.puts[order];
         let since = current.saturating_sub(put.revision) as usize;
         if acked_before && since < KNOWN_RESENDS {
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn was_read(&mut self, floor: u64, version: Option<Version>) -> Verdict {
+    fn was_read(&mut self, floor: u64, version: Option<ConfigVersion>) -> RequestError {
         let revision = version.as_ref().map_or(0, |v| v.revision);
         if revision < floor {
             return broken("stale read", format!("{revision} was read, and {floor} was known before"));
@@ -199,7 +199,7 @@
     }
 
     /// At rest: what is in force holds all that was told.
-    pub fn in_force(&self, chain: &[Vec<u8>], drains: &VecDeque<String>) -> Verdict {
+    pub fn in_force(&self, chain: &[Vec<u8>], drains: &VecDeque<String>) -> RequestError {
         for (order, put) in self.puts.iter().enumerate() {
             let there = chain.contains(&put.raw);
             if put.acked && !there {
@@ -209,7 +209,7 @@
                 return broken("register", format!("order {order} was refused and is in force"));
             }
         }
-        let recent = self.drained.iter().rev().take(KEPT_DRAINS / 2);
+        let recent = self.drained.iter().rev().take(DRAINING_INSTANCES_KEPT / 2);
         match recent.into_iter().find(|d| !drains.contains(*d)) {
             Some(gone) => broken("what was told is lost", format!("the drain of {gone}")),
             None => Ok(()),
--- a/brood/tests/model/schedule.rs
+++ b/engine/tests/model/schedule.rs
@@ -105,7 +105,7 @@
 pub enum When {
     Now,
     /// A client was told of a change.
-    Told,
+    PrimaryReports,
     /// A vote was given and let out.
     Voted,
     /// Somebody began to lead.
@@ -265,7 +265,7 @@
 
 fn when(rng: &mut fastrand::Rng) -> When {
     match rng.u8(0..12) {
-        0 => When::Told,
+        0 => When::PrimaryReports,
         1 => When::Voted,
         2 | 3 => When::Leads,
         4 | 5 => When::Changing,
--- a/brood/tests/model/world.rs
+++ b/engine/tests/model/world.rs
@@ -1,15 +1,15 @@
 //! The world: simulated time, machines, and the queue of what happens next. The judges look after
-//! every step of a queen.
+//! every step of a controller.
 
 use super::disk::{Disk, Log};
-use super::judge::{Counts, Held, Judge, Seen, Verdict, Violation, broken, majority};
+use super::judge::{Counts, HealthCheckState, Held, Judge, RequestError, Violation, broken, majority};
 use super::network::{Fates, Links, Wire, mix};
 use super::node::{Answer, Call, Node, Out, Setup};
 use super::register::{Kind, Register};
 use super::schedule::{Act, CATCH_UP, Fate, Fault, Kept, OPERATORS, Schedule, Slot, Step, Target, Thing, When, ms};
-use brood::process::raft::{Body, Parameters, Raft, Role};
-use brood::version::electorate::{Electorate, Voter, VoterId};
-use brood::version::ledger::Command;
+use lichenfield_engine::process::consensus::{MessageBody, Parameters, Raft, Role};
+use lichenfield_engine::version::control_state::Command;
+use lichenfield_engine::version::electorate::{Electorate, Voter, VoterId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::Ipv4Addr;
@@ -55,7 +55,7 @@
     in_quorum: bool,
     node: Option<Node>,
     /// Counts the processes that ran here.
-    life: u32,
+    incarnation: u32,
     /// It will never be back.
     gone: bool,
     /// It was told to end; for good, or to return.
@@ -123,21 +123,21 @@
 }
 
 impl<'a> World<'a> {
-    /// `told`: each step of each queen is printed.
+    /// `told`: each step of each controller is printed.
     pub fn run(schedule: &'a Schedule, told: bool) -> Run {
         let mut world = World::new(schedule);
         world.tells = told;
-        let mut verdict = world.begin();
-        while let (Ok(()), Some(Reverse(Queued(at, _, event)))) = (&verdict, world.queue.pop()) {
+        let mut error = world.begin();
+        while let (Ok(()), Some(Reverse(Queued(at, _, event)))) = (&error, world.queue.pop()) {
             world.now = at;
             if matches!(event, Event::Last) {
-                verdict = world.level();
+                error = world.level();
                 break;
             }
-            verdict = world.happens(event);
+            error = world.happens(event);
         }
         let counts = world.judge.counts();
-        Run { broken: verdict.err().map(|v| (world.now, v)), fates: world.fates.recorded(), counts }
+        Run { broken: error.err().map(|v| (world.now, v)), fates: world.fates.recorded(), counts }
     }
 
     fn new(schedule: &'a Schedule) -> Self {
@@ -160,7 +160,7 @@
         }
     }
 
-    fn begin(&mut self) -> Verdict {
+    fn begin(&mut self) -> RequestError {
         for slot in 0..self.schedule.machines {
             self.add_machine(!self.schedule.learner || slot + 1 < self.schedule.machines);
         }
@@ -187,7 +187,7 @@
             disk: Disk::new(self.fresh_id(slot, 0)),
             in_quorum,
             node: None,
-            life: 0,
+            incarnation: 0,
             gone: false,
             leaving: None,
             unsafe_yet: true,
@@ -203,8 +203,8 @@
         slot
     }
 
-    fn fresh_id(&self, slot: Slot, life: u32) -> VoterId {
-        mix(&[self.schedule.seed, 1, slot as u64, u64::from(life)]) >> 32 | 1
+    fn fresh_id(&self, slot: Slot, incarnation: u32) -> VoterId {
+        mix(&[self.schedule.seed, 1, slot as u64, u64::from(incarnation)]) >> 32 | 1
     }
 
     fn queue(&mut self, at: Duration, event: Event) {
@@ -222,7 +222,7 @@
 
     // ---- events -----------------------------------------------------------------------------
 
-    fn happens(&mut self, event: Event) -> Verdict {
+    fn happens(&mut self, event: Event) -> RequestError {
         if self.tells {
             self.tell(&event);
         }
@@ -244,9 +244,11 @@
             Event::Synced(slot, sync) => self.synced(slot, sync),
             Event::Calls(slot, call, command) => self.act(slot, |node, now| node.propose(now, call, command)),
             Event::Reads(slot, call) => self.act(slot, |node, now| node.read(now, call)),
-            Event::Starts(slot, life) if life == self.machines[slot].life => self.start(slot),
-            Event::Thaws(slot, life) if life == self.machines[slot].life => self.thaw(slot),
-            Event::Leaves(slot, life, by, back) if life == self.machines[slot].life => self.leaves(slot, by, back),
+            Event::Starts(slot, incarnation) if incarnation == self.machines[slot].incarnation => self.start(slot),
+            Event::Thaws(slot, incarnation) if incarnation == self.machines[slot].incarnation => self.thaw(slot),
+            Event::Leaves(slot, incarnation, by, back) if incarnation == self.machines[slot].incarnation => {
+                self.leaves(slot, by, back)
+            }
             Event::Step(at) => self.step(at),
             Event::Probe(rest) => self.probe(rest),
             Event::Rested => self.rested(),
@@ -281,15 +283,15 @@
         }
     }
 
-    /// One input to a queen, and what follows from it.
-    fn act(&mut self, slot: Slot, input: impl FnOnce(&mut Node, Instant)) -> Verdict {
+    /// One input to a controller, and what follows from it.
+    fn act(&mut self, slot: Slot, input: impl FnOnce(&mut Node, Instant)) -> RequestError {
         let now = self.instant(slot);
         let Some(node) = &mut self.machines[slot].node else { return Ok(()) };
         input(node, now);
         self.turn(slot)
     }
 
-    fn tick(&mut self, slot: Slot) -> Verdict {
+    fn tick(&mut self, slot: Slot) -> RequestError {
         if self.machines[slot].armed != Some(self.now) {
             return Ok(());
         }
@@ -299,29 +301,29 @@
         self.act(slot, |node, now| node.tick(now, &others))
     }
 
-    fn synced(&mut self, slot: Slot, sync: u64) -> Verdict {
+    fn synced(&mut self, slot: Slot, sync: u64) -> RequestError {
         let machine = &mut self.machines[slot];
         if machine.sync != sync || machine.node.is_none() {
             return Ok(());
         }
         let Some(number) = machine.disk.end_sync() else { return Ok(()) };
         machine.durable = number;
-        self.act(slot, |node, now| node.raft.durable(now, number))?;
+        self.act(slot, |node, now| node.raft.on_write_durable(now, number))?;
         self.judge.told_is_kept(&held(&self.machines))
     }
 
-    fn start(&mut self, slot: Slot) -> Verdict {
+    fn start(&mut self, slot: Slot) -> RequestError {
         let now = self.instant(slot);
         let machine = &mut self.machines[slot];
         if machine.gone || machine.node.is_some() {
             return Ok(());
         }
-        let seed = mix(&[self.schedule.seed, 2, slot as u64, u64::from(machine.life)]);
+        let seed = mix(&[self.schedule.seed, 2, slot as u64, u64::from(machine.incarnation)]);
         let setup = Setup {
             ip: machine.ip,
             parameters: Parameters {
-                tail_entries: self.schedule.tail,
-                piece_bytes: PIECE,
+                retained_entries: self.schedule.tail,
+                snapshot_chunk_bytes: PIECE,
                 ..Parameters::new(T, CONFIRM, self.schedule.tolerance)
             },
             in_quorum: machine.in_quorum,
@@ -335,16 +337,16 @@
         machine.durable = 0;
         let mut node = Node::new(now, stored, setup);
         if founds {
-            node.raft.found(self.founders.clone());
+            node.raft.bootstrap(self.founders.clone());
         }
         machine.node = Some(node);
         self.judge.begins(self.now, slot);
         self.turn(slot)
     }
 
-    fn stop(&mut self, slot: Slot, kept: Kept) -> Verdict {
+    fn stop(&mut self, slot: Slot, kept: Kept) -> RequestError {
         let machine = &mut self.machines[slot];
-        machine.life += 1;
+        machine.incarnation += 1;
         (machine.frozen, machine.leaving) = (None, None);
         machine.sync += 1;
         machine.disk.crash(kept);
@@ -355,15 +357,15 @@
         self.judge.told_is_kept(&held(&self.machines))
     }
 
-    fn stop_for(&mut self, slot: Slot, kept: Kept, down: Duration) -> Verdict {
+    fn stop_for(&mut self, slot: Slot, kept: Kept, down: Duration) -> RequestError {
         self.troubled(slot, down);
         self.stop(slot, kept)?;
-        let life = self.machines[slot].life;
-        self.after(down, Event::Starts(slot, life));
+        let incarnation = self.machines[slot].incarnation;
+        self.after(down, Event::Starts(slot, incarnation));
         Ok(())
     }
 
-    fn thaw(&mut self, slot: Slot) -> Verdict {
+    fn thaw(&mut self, slot: Slot) -> RequestError {
         for event in self.machines[slot].frozen.take().unwrap_or_default() {
             let event = match event {
                 Event::Tick(_) => {
@@ -377,9 +379,9 @@
         Ok(())
     }
 
-    // ---- a queen's turn ---------------------------------------------------------------------
+    // ---- a controller's turn ---------------------------------------------------------------------
 
-    fn turn(&mut self, slot: Slot) -> Verdict {
+    fn turn(&mut self, slot: Slot) -> RequestError {
         let Some(node) = &mut self.machines[slot].node else { return Ok(()) };
         let outs = node.turn();
         let mut happened = Vec::new();
@@ -389,7 +391,8 @@
                 Out::Write(number, write) => {
                     wrote = true;
                     let leads = self.leads(slot);
-                    let changes = write.entries.iter().any(|(_, e)| matches!(e.command, Command::Voters { .. }));
+                    let changes =
+                        write.entries.iter().any(|(_, e)| matches!(e.command, Command::ChangeElectorate { .. }));
                     let snapshot = write.snapshot.as_ref().is_some_and(|s| s.index > 0);
                     let disk = &mut self.machines[slot].disk;
                     if !disk.write(number, write.clone()) {
@@ -438,7 +441,7 @@
         self.machines[slot].node.as_ref().is_some_and(|n| n.raft.role() == Role::Leader)
     }
 
-    fn look(&mut self, slot: Slot, wrote: bool, happened: &mut Vec<When>) -> Verdict {
+    fn look(&mut self, slot: Slot, wrote: bool, happened: &mut Vec<When>) -> RequestError {
         let now = self.instant(slot);
         let machine = &self.machines[slot];
         let Some(node) = &machine.node else { return Ok(()) };
@@ -457,7 +460,7 @@
     }
 
     fn send(&mut self, from: Slot, to: Ipv4Addr, wire: Wire, happened: &mut Vec<When>) {
-        if matches!(&wire, Wire::Raft(m) if matches!(m.body, Body::Vote { granted: true })) {
+        if matches!(&wire, Wire::Raft(m) if matches!(m.body, MessageBody::VoteResponse { granted: true })) {
             happened.push(When::Voted);
         }
         let Some(slot) = self.machines.iter().position(|m| m.ip == to) else { return };
@@ -501,8 +504,8 @@
 
     // ---- clients ----------------------------------------------------------------------------
 
-    fn answer(&mut self, call: Call, answer: Answer, happened: &mut Vec<When>) -> Verdict {
-        if let Answer::Elsewhere(ip) = answer {
+    fn answer(&mut self, call: Call, answer: Answer, happened: &mut Vec<When>) -> RequestError {
+        if let Answer::NotLeader(ip) = answer {
             let slot = self.machines.iter().position(|m| m.ip == ip);
             if let Some(slot) = slot.filter(|_| self.register.redirected(call)) {
                 self.after(REDIRECT, Event::Reads(slot, call));
@@ -515,7 +518,7 @@
                 let put = &self.register.puts[order].raw;
                 self.judge.find(|c| matches!(c, Command::Configure { raw, .. } if raw == put))
             }
-            Some(Kind::Drain { id }) => self.judge.find(|c| matches!(c, Command::Drain { id: i } if *i == id)),
+            Some(Kind::Drain { id }) => self.judge.find(|c| matches!(c, Command::DrainInstance { id: i } if *i == id)),
             Some(Kind::Read) => {
                 self.judge.counts.reads += 1;
                 return Ok(());
@@ -526,7 +529,7 @@
             return broken("what was told is lost", "it was never committed".to_owned());
         };
         self.judge.tells(self.now, index);
-        happened.push(When::Told);
+        happened.push(When::PrimaryReports);
         let disks = held(&self.machines);
         self.judge.told_is_kept(&disks)?;
         if self.schedule.bold {
@@ -542,7 +545,7 @@
         self.schedule.tolerance.saturating_sub(lost)
     }
 
-    /// Trouble for a machine; it counts as lost until it has had its time afterwards.
+    /// StoreError for a machine; it counts as lost until it has had its time afterwards.
     fn troubled(&mut self, slot: Slot, span: Duration) {
         let until = self.now + span + CATCH_UP;
         let machine = &mut self.machines[slot];
@@ -566,7 +569,7 @@
 
     // ---- steps ------------------------------------------------------------------------------
 
-    fn step(&mut self, at: usize) -> Verdict {
+    fn step(&mut self, at: usize) -> RequestError {
         let Step { when, act, .. } = &self.schedule.steps[at];
         match act.clone() {
             Act::Fault(fault) if *when == When::Now => self.fault(fault)?,
@@ -600,13 +603,13 @@
     }
 
     /// Something happened that faults may have waited for.
-    fn provoke(&mut self, event: When) -> Verdict {
+    fn provoke(&mut self, event: When) -> RequestError {
         let Some(at) = self.waiting.iter().position(|(when, _)| *when == event) else { return Ok(()) };
         let (_, fault) = self.waiting.remove(at);
         self.fault(fault)
     }
 
-    fn fault(&mut self, fault: Fault) -> Verdict {
+    fn fault(&mut self, fault: Fault) -> RequestError {
         match fault {
             Fault::Power { who, kept, down } => self.stop_for(self.slot(who), kept, down)?,
             Fault::Kill { who, down } => self.stop_for(self.slot(who), Kept::All, down)?,
@@ -615,8 +618,8 @@
                 let slot = self.slot(who);
                 if self.may_lose(slot) {
                     self.wipe(slot)?;
-                    let life = self.machines[slot].life;
-                    self.after(down, Event::Starts(slot, life));
+                    let incarnation = self.machines[slot].incarnation;
+                    self.after(down, Event::Starts(slot, incarnation));
                 }
             }
             Fault::WipeMost { first, down } => {
@@ -658,8 +661,8 @@
                 let machine = &mut self.machines[slot];
                 if machine.node.is_some() && machine.frozen.is_none() {
                     machine.frozen = Some(Vec::new());
-                    let life = machine.life;
-                    self.after(span, Event::Thaws(slot, life));
+                    let incarnation = machine.incarnation;
+                    self.after(span, Event::Thaws(slot, incarnation));
                 }
             }
             Fault::Jump { who, by } => {
@@ -702,26 +705,26 @@
     }
 
     /// It is told to end; `back`: to return that long after it has.
-    fn leave(&mut self, slot: Slot, back: Option<Duration>) -> Verdict {
-        self.act(slot, |node, now| node.raft.leave(now))?;
+    fn leave(&mut self, slot: Slot, back: Option<Duration>) -> RequestError {
+        self.act(slot, |node, now| node.raft.begin_shutdown(now))?;
         let machine = &mut self.machines[slot];
         machine.leaving = Some(back.is_some());
-        let life = machine.life;
-        self.after(LOOK, Event::Leaves(slot, life, self.now + PATIENCE, back));
+        let incarnation = machine.incarnation;
+        self.after(LOOK, Event::Leaves(slot, incarnation, self.now + PATIENCE, back));
         Ok(())
     }
 
-    fn leaves(&mut self, slot: Slot, by: Duration, back: Option<Duration>) -> Verdict {
+    fn leaves(&mut self, slot: Slot, by: Duration, back: Option<Duration>) -> RequestError {
         let machine = &self.machines[slot];
-        let life = machine.life;
+        let incarnation = machine.incarnation;
         if self.now < by && raft(machine).is_some_and(|r| !r.may_end()) {
-            self.after(LOOK, Event::Leaves(slot, life, by, back));
+            self.after(LOOK, Event::Leaves(slot, incarnation, by, back));
             return Ok(());
         }
         match back {
             Some(down) => {
                 self.stop(slot, Kept::All)?;
-                self.after(down, Event::Starts(slot, life + 1));
+                self.after(down, Event::Starts(slot, incarnation + 1));
             }
             None => self.end(slot)?,
         }
@@ -729,7 +732,7 @@
     }
 
     /// It is gone for good.
-    fn end(&mut self, slot: Slot) -> Verdict {
+    fn end(&mut self, slot: Slot) -> RequestError {
         self.wipe(slot)?;
         self.machines[slot].gone = true;
         Ok(())
@@ -741,9 +744,9 @@
         !machine.gone && (self.schedule.bold || !machine.in_quorum || self.may_still_be_lost(Some(slot)) > 0)
     }
 
-    fn wipe(&mut self, slot: Slot) -> Verdict {
+    fn wipe(&mut self, slot: Slot) -> RequestError {
         self.stop(slot, Kept::All)?;
-        let id = self.fresh_id(slot, self.machines[slot].life);
+        let id = self.fresh_id(slot, self.machines[slot].incarnation);
         let machine = &mut self.machines[slot];
         machine.unsafe_yet = true;
         let old = std::mem::replace(&mut machine.disk, Disk::new(id));
@@ -751,7 +754,7 @@
         self.judge.told_is_kept(&held(&self.machines))
     }
 
-    fn power_all(&mut self, kept: Kept, down: Duration) -> Verdict {
+    fn power_all(&mut self, kept: Kept, down: Duration) -> RequestError {
         for slot in 0..self.machines.len() {
             if !self.machines[slot].gone {
                 let lot = mix(&[self.schedule.seed, 3, slot as u64, self.now.as_micros() as u64]) % 1000;
@@ -763,7 +766,7 @@
 
     // ---- rest -------------------------------------------------------------------------------
 
-    fn rest(&mut self, span: Duration) -> Verdict {
+    fn rest(&mut self, span: Duration) -> RequestError {
         self.links.heal();
         self.waiting.clear();
         for slot in 0..self.machines.len() {
@@ -791,7 +794,7 @@
     }
 
     /// At rest somebody keeps asking for a change until one is taken.
-    fn probe(&mut self, rest: u32) -> Verdict {
+    fn probe(&mut self, rest: u32) -> RequestError {
         if rest == self.rests && self.resting == Some(false) {
             let (call, command) = self.register.put(OPERATORS);
             self.call(Target::Leader, call, command);
@@ -801,7 +804,7 @@
     }
 
     /// The trouble has been over for as long as it takes to catch up.
-    fn rested(&mut self) -> Verdict {
+    fn rested(&mut self) -> RequestError {
         if self.schedule.bold {
             self.resting = None;
             return self.in_force();
@@ -824,12 +827,12 @@
         self.in_force()
     }
 
-    fn in_force(&self) -> Verdict {
-        self.register.in_force(&self.judge.chain, &self.judge.ledger().drains)
+    fn in_force(&self) -> RequestError {
+        self.register.in_force(&self.judge.chain, &self.judge.control_state().draining_instances)
     }
 
     /// After the last rest all hold the same.
-    fn level(&mut self) -> Verdict {
+    fn level(&mut self) -> RequestError {
         if self.schedule.bold {
             return self.in_force();
         }
@@ -847,17 +850,17 @@
     machine.node.as_ref().map(|n| &n.raft)
 }
 
-fn see<'a>(slot: Slot, machine: &'a Machine, node: &'a Node, now: Instant) -> Seen<'a> {
-    Seen {
+fn see<'a>(slot: Slot, machine: &'a Machine, node: &'a Node, now: Instant) -> HealthCheckState<'a> {
+    HealthCheckState {
         slot,
-        life: machine.life,
+        incarnation: machine.incarnation,
         role: node.raft.role(),
         term: node.raft.term(),
         commit: node.raft.commit(),
         electorate: node.raft.electorate(),
-        confirmed: node.raft.confirmed(now),
-        current: node.raft.current(),
-        ledger: &node.ledger,
+        confirmed: node.raft.is_confirmed_leader(now),
+        current: node.raft.has_had_quorum_contact(),
+        control_state: &node.control_state,
         disk: &machine.disk,
     }
 }
--- a/forager/src/main.rs
+++ b/pooler/src/main.rs
@@ -1,10 +1,10 @@
-//! `forager`: lichenfield's data plane. Serves clients' sessions and carries their statements to the
+//! `lichenfield-pooler`: lichenfield's data plane. Serves clients' sessions and carries their statements to the
 //! databases' instances over pooled connections.
 
-mod drive;
+mod driver;
 
 use clap::Parser;
-use comb::boot;
+use lichenfield_runtime::startup;
 use std::process::ExitCode;
 
 /// Carries clients' sessions to the databases' instances.
@@ -26,30 +26,30 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let path = boot::settings_path(args.settings);
-    let (text, settings) = match boot::read_settings(&path) {
+    let path = startup::settings_path(args.settings);
+    let (text, settings) = match startup::read_settings(&path) {
         Ok(read) => read,
         Err(why) => {
-            eprintln!("forager: {why}");
-            return ExitCode::from(boot::EXIT_SETTINGS);
+            eprintln!("lichenfield-pooler: {why}");
+            return ExitCode::from(startup::EXIT_SETTINGS);
         }
     };
     let (Some(session), Some(readiness)) = (settings.listen.session, settings.listen.readiness) else {
-        eprintln!("forager: settings {path}: listen.session and listen.readiness are needed");
-        return ExitCode::from(boot::EXIT_SETTINGS);
+        eprintln!("lichenfield-pooler: settings {path}: listen.session and listen.readiness are needed");
+        return ExitCode::from(startup::EXIT_SETTINGS);
     };
     if matches!(args.verb, Some(Verb::Check)) {
         println!("{path}: good");
         return ExitCode::SUCCESS;
     }
-    comb::ring::start();
-    let reader = boot::Reader::new(path, text);
-    match comb::run(move |hive| drive::serve(hive, settings, session, readiness, reader)) {
+    lichenfield_runtime::log_ring::start();
+    let reader = startup::SettingsWatcher::new(path, text);
+    match lichenfield_runtime::run(move |executor| driver::serve(executor, settings, session, readiness, reader)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            comb::ring::dump();
-            eprintln!("forager: {e}");
-            ExitCode::from(boot::EXIT_FAILED)
+            lichenfield_runtime::log_ring::dump();
+            eprintln!("lichenfield-pooler: {e}");
+            ExitCode::from(startup::EXIT_FAILED)
         }
     }
 }
--- a/comb/src/pipe.rs
+++ b/runtime/src/byte_stream.rs
@@ -1,6 +1,6 @@
 //! A socket that state machines write to: at once where the kernel takes it, later where it does not.
 
-use crate::Hive;
+use crate::Executor;
 use smol::Async;
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read, Write};
@@ -15,8 +15,8 @@
 const LINGER: Duration = Duration::from_millis(800);
 const READ: usize = 8 * 1024;
 
-pub struct Pipe {
-    hive: Hive,
+pub struct ByteStream {
+    executor: Executor,
     stream: RefCell<Option<Rc<Async<TcpStream>>>>,
     backlog: RefCell<Vec<u8>>,
     flushing: Cell<bool>,
@@ -36,11 +36,11 @@
     let _ = socket.set_tcp_keepalive(&probes);
 }
 
-impl Pipe {
+impl ByteStream {
     /// Not connected yet: what is written waits.
-    pub fn pending(hive: Hive) -> Rc<Self> {
-        Rc::new(Pipe {
-            hive,
+    pub fn pending(executor: Executor) -> Rc<Self> {
+        Rc::new(ByteStream {
+            executor,
             stream: RefCell::new(None),
             backlog: RefCell::default(),
             flushing: Cell::new(false),
@@ -48,8 +48,8 @@
         })
     }
 
-    pub fn connected(hive: Hive, stream: Async<TcpStream>) -> Rc<Self> {
-        let pipe = Pipe::pending(hive);
+    pub fn connected(executor: Executor, stream: Async<TcpStream>) -> Rc<Self> {
+        let pipe = ByteStream::pending(executor);
         pipe.attach(stream);
         pipe
     }
@@ -98,7 +98,7 @@
             self.cut();
         } else if stream.is_some() && !self.flushing.replace(true) {
             let pipe = Rc::clone(self);
-            self.hive.spawn(async move { pipe.flush().await }).detach();
+            self.executor.spawn(async move { pipe.flush().await }).detach();
         }
     }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Reads until the end, handing on what comes; after [`Pipe::close`] what comes is dropped.
+    /// Reads until the end, handing on what comes; after [`ByteStream::close`] what comes is dropped.
     pub async fn read(self: Rc<Self>, mut take: impl FnMut(&[u8])) {
         let Some(stream) = self.stream.borrow().clone() else { return };
         let mut buffer = vec![0; READ];
--- a/comb/src/http.rs
+++ b/runtime/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 by `hyper`: a server for a daemon's interfaces, and single calls out.
 
-use crate::pipe::tune;
-use crate::{Hive, within};
+use crate::byte_stream::tune;
+use crate::{Executor, within};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::service::service_fn;
@@ -41,7 +41,7 @@
 }
 
 /// Serves calls with `handle` until the daemon ends.
-pub fn serve<F, R>(hive: Hive, address: SocketAddrV4, handle: F) -> std::io::Result<()>
+pub fn serve<F, R>(executor: Executor, address: SocketAddrV4, handle: F) -> std::io::Result<()>
 where
     F: Fn(Call) -> R + 'static,
     R: Future<Output = Answer> + 'static,
@@ -49,28 +49,30 @@
     let listener = Async::<TcpListener>::bind(address)?;
     let handle = Rc::new(handle);
     let open = Rc::new(Cell::new(0usize));
-    hive.spawn(async move {
-        loop {
-            if open.get() >= CONNECTIONS_MAX {
-                smol::Timer::after(Duration::from_millis(20)).await;
-                continue;
-            }
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    tune(stream.get_ref(), SILENCE);
-                    let (handle, open) = (Rc::clone(&handle), Rc::clone(&open));
-                    open.set(open.get() + 1);
-                    hive.spawn(async move {
-                        serve_one(stream, handle).await;
-                        open.set(open.get() - 1);
-                    })
-                    .detach();
+    executor
+        .spawn(async move {
+            loop {
+                if open.get() >= CONNECTIONS_MAX {
+                    smol::Timer::after(Duration::from_millis(20)).await;
+                    continue;
+                }
+                match listener.accept().await {
+                    Ok((stream, _)) => {
+                        tune(stream.get_ref(), SILENCE);
+                        let (handle, open) = (Rc::clone(&handle), Rc::clone(&open));
+                        open.set(open.get() + 1);
+                        executor
+                            .spawn(async move {
+                                serve_one(stream, handle).await;
+                                open.set(open.get() - 1);
+                            })
+                            .detach();
+                    }
+                    Err(_) => drop(smol::Timer::after(Duration::from_millis(20)).await),
                 }
-                Err(_) => drop(smol::Timer::after(Duration::from_millis(20)).await),
             }
-        }
-    })
-    .detach();
+        })
+        .detach();
     Ok(())
 }
 
@@ -117,7 +119,7 @@
 
 /// One call on a connection of its own. `permit` is asked once more right before anything is sent.
 pub async fn call(
-    hive: Hive,
+    executor: Executor,
     to: SocketAddrV4,
     (method, path): (&str, &str),
     headers: &[(&str, String)],
@@ -130,7 +132,7 @@
         tune(stream.get_ref(), SILENCE);
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await.map_err(|e| e.to_string())?;
-        let _driver = hive.spawn(async move {
+        let _driver = executor.spawn(async move {
             let _ = connection.await;
         });
         let mut request = Request::builder().method(method).uri(path).header("host", to.to_string());
--- a/comb/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,33 +1,33 @@
-//! What both daemons need around `brood`: sockets, links between daemons, HTTP, settings, the log.
+//! What both daemons need around `lichenfield_engine`: sockets, links between daemons, HTTP, settings, the log.
 
-pub mod boot;
+pub mod byte_stream;
 pub mod http;
-pub mod links;
-pub mod pipe;
-pub mod ring;
+pub mod log_ring;
+pub mod peer_links;
+pub mod startup;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// The one thread's executor.
-pub type Hive = &'static smol::LocalExecutor<'static>;
+pub type Executor = &'static smol::LocalExecutor<'static>;
 
-/// Runs a daemon's whole life on the calling thread.
-pub fn run<F: Future>(main: impl FnOnce(Hive) -> F) -> F::Output {
-    let hive: Hive = Box::leak(Box::new(smol::LocalExecutor::new()));
-    smol::block_on(hive.run(main(hive)))
+/// Runs a daemon's whole incarnation on the calling thread.
+pub fn run<F: Future>(main: impl FnOnce(Executor) -> F) -> F::Output {
+    let executor: Executor = Box::leak(Box::new(smol::LocalExecutor::new()));
+    smol::block_on(executor.run(main(executor)))
 }
 
-/// Wakes a state machine at the moment it asks for, however often that moment moves.
-pub struct Alarm {
+/// Wakes a state machine at the moment it asks for, however often that moment failovers.
+pub struct TimerHandle {
     armed: Cell<Option<Instant>>,
     ping: (smol::channel::Sender<()>, smol::channel::Receiver<()>),
 }
 
-impl Alarm {
+impl TimerHandle {
     pub fn new() -> Rc<Self> {
-        Rc::new(Alarm { armed: Cell::new(None), ping: smol::channel::bounded(1) })
+        Rc::new(TimerHandle { armed: Cell::new(None), ping: smol::channel::bounded(1) })
     }
 
     /// The machine now wants to be woken at `due`.
--- a/comb/src/ring.rs
+++ b/runtime/src/log_ring.rs
@@ -1,6 +1,6 @@
 //! The log ring as a `tracing` layer: kept in memory, written out when something goes wrong.
 
-use brood::process::ring::Ring;
+use lichenfield_engine::process::log_ring::Ring;
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::sync::{Mutex, OnceLock};
--- a/comb/src/links.rs
+++ b/runtime/src/peer_links.rs
@@ -1,9 +1,9 @@
 //! Links between daemons: length-prefixed `bincode` frames over TCP, each side dialling for what it
 //! sends. A message that cannot be sent soon is dropped: the state machines repeat what matters.
 
-use crate::pipe::{self, Pipe};
-use crate::{Hive, Shared, shared, within};
-use brood::process::dance::{self, Dance, FRAME_MAX};
+use crate::byte_stream::{self, ByteStream};
+use crate::{Executor, Shared, shared, within};
+use lichenfield_engine::process::peer_message::{self, FRAME_MAX, PeerMessage};
 use smol::Async;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
@@ -20,48 +20,49 @@
 /// After a failed dial, messages are dropped for this long.
 const REST: Duration = Duration::from_millis(150);
 
-type Inbox = Rc<dyn Fn(Ipv4Addr, Dance)>;
+type Inbox = Rc<dyn Fn(Ipv4Addr, PeerMessage)>;
 
 struct Link {
-    pipe: Rc<Pipe>,
+    pipe: Rc<ByteStream>,
     rests: Option<Instant>,
 }
 
 #[derive(Clone)]
 pub struct Links {
-    hive: Hive,
+    executor: Executor,
     me: Ipv4Addr,
     port: u16,
     links: Shared<HashMap<Ipv4Addr, Link>>,
 }
 
 impl Links {
-    pub fn new(hive: Hive, me: Ipv4Addr, port: u16) -> Self {
-        Links { hive, me, port, links: shared(HashMap::new()) }
+    pub fn new(executor: Executor, me: Ipv4Addr, port: u16) -> Self {
+        Links { executor, me, port, links: shared(HashMap::new()) }
     }
 
     /// Listens for the other daemons.
     pub fn listen(&self, inbox: Inbox) -> std::io::Result<()> {
         let listener = Async::<TcpListener>::bind(SocketAddrV4::new(self.me, self.port))?;
-        let hive = self.hive;
-        hive.spawn(async move {
-            loop {
-                match listener.accept().await {
-                    Ok((stream, _)) => {
-                        pipe::tune(stream.get_ref(), SILENCE);
-                        let inbox = Rc::clone(&inbox);
-                        hive.spawn(receive(hive, stream, inbox)).detach();
+        let executor = self.executor;
+        executor
+            .spawn(async move {
+                loop {
+                    match listener.accept().await {
+                        Ok((stream, _)) => {
+                            byte_stream::tune(stream.get_ref(), SILENCE);
+                            let inbox = Rc::clone(&inbox);
+                            executor.spawn(receive(executor, stream, inbox)).detach();
+                        }
+                        Err(_) => drop(smol::Timer::after(Duration::from_millis(20)).await),
                     }
-                    Err(_) => drop(smol::Timer::after(Duration::from_millis(20)).await),
                 }
-            }
-        })
-        .detach();
+            })
+            .detach();
         Ok(())
     }
 
-    pub fn send(&self, to: Ipv4Addr, dance: &Dance) {
-        let bytes = dance::encode(dance);
+    pub fn send(&self, to: Ipv4Addr, message: &PeerMessage) {
+        let bytes = peer_message::encode(message);
         let mut frame = Vec::with_capacity(bytes.len() + 4);
         frame.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
         frame.extend_from_slice(&bytes);
@@ -77,20 +78,20 @@
         if links.get(&to).is_some_and(|l| l.rests.is_some_and(|until| now < until)) {
             return;
         }
-        let pipe = Pipe::pending(self.hive);
+        let pipe = ByteStream::pending(self.executor);
         let mut hello = MAGIC.to_vec();
         hello.extend_from_slice(&self.me.octets());
         pipe.write(&hello);
         pipe.write(&frame);
         links.insert(to, Link { pipe: Rc::clone(&pipe), rests: None });
         let this = self.clone();
-        self.hive.spawn(async move { this.dial(to, pipe).await }).detach();
+        self.executor.spawn(async move { this.dial(to, pipe).await }).detach();
     }
 
-    async fn dial(self, to: Ipv4Addr, pipe: Rc<Pipe>) {
+    async fn dial(self, to: Ipv4Addr, pipe: Rc<ByteStream>) {
         let address = SocketAddrV4::new(to, self.port);
         if let Some(Ok(stream)) = within(DIAL, Async::<TcpStream>::connect(address)).await {
-            pipe::tune(stream.get_ref(), SILENCE);
+            byte_stream::tune(stream.get_ref(), SILENCE);
             pipe.attach(stream);
             Rc::clone(&pipe).read(|_| {}).await;
         }
@@ -104,8 +105,8 @@
 }
 
 /// Takes frames until the link ends or carries something else.
-async fn receive(hive: Hive, stream: Async<TcpStream>, inbox: Inbox) {
-    let pipe = Pipe::connected(hive, stream);
+async fn receive(executor: Executor, stream: Async<TcpStream>, inbox: Inbox) {
+    let pipe = ByteStream::connected(executor, stream);
     let mut buffer: Vec<u8> = Vec::new();
     let mut from = None;
     let inner = Rc::clone(&pipe);
@@ -133,12 +134,12 @@
                     return;
                 }
                 let Some(frame) = buffer.get(at + 4..at + 4 + length) else { break };
-                let Some(dance) = dance::decode(frame) else {
+                let Some(message) = peer_message::decode(frame) else {
                     inner.cut();
                     return;
                 };
                 at += 4 + length;
-                inbox(from, dance);
+                inbox(from, message);
             }
             buffer.drain(..at);
         })
--- a/comb/src/boot.rs
+++ b/runtime/src/startup.rs
@@ -1,7 +1,7 @@
 //! Settings and signals.
 
 use async_signal::{Signal, Signals};
-use brood::process::settings::Settings;
+use lichenfield_engine::process::settings::Settings;
 use std::time::Duration;
 
 /// The variable that holds the settings file's path, and the usual path.
@@ -27,14 +27,14 @@
 const LOOK: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
-    Leave,
-    Reread,
-    Dump,
+pub enum ProcessSignal {
+    Terminate,
+    ReloadSettings,
+    DumpLog,
 }
 
 /// Follows signals; looks after the settings file now and then.
-pub async fn watch(mut act: impl FnMut(Wish)) {
+pub async fn watch(mut act: impl FnMut(ProcessSignal)) {
     use smol::stream::StreamExt;
     let Ok(mut signals) = Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]) else { return };
     loop {
@@ -44,23 +44,23 @@
         })
         .await;
         match signal {
-            Some(Signal::Hup) => act(Wish::Reread),
-            Some(Signal::Usr1) => act(Wish::Dump),
-            Some(_) => act(Wish::Leave),
+            Some(Signal::Hup) => act(ProcessSignal::ReloadSettings),
+            Some(Signal::Usr1) => act(ProcessSignal::DumpLog),
+            Some(_) => act(ProcessSignal::Terminate),
             None => {}
         }
     }
 }
 
 /// Follows the settings file: a bad new one is logged and the old settings stay.
-pub struct Reader {
+pub struct SettingsWatcher {
     path: String,
     text: String,
 }
 
-impl Reader {
+impl SettingsWatcher {
     pub fn new(path: String, text: String) -> Self {
-        Reader { path, text }
+        SettingsWatcher { path, text }
     }
 
     /// The new settings, if the file changed and is good.
--- a/apiary/src/bin/drone.rs
+++ b/simulator/src/bin/fake-database.rs
@@ -1,18 +1,18 @@
 //! A stand-in for a database group and the platform, for trying the daemons on one machine: three
 //! instances that speak the wire, tell of themselves, and take over when the platform is called.
 
-use apiary::instance::{self, Instance, Log};
-use apiary::judge::Judge;
-use comb::http::{self, Answer};
-use comb::pipe::Pipe;
-use comb::{Hive, Shared, shared};
+use lichenfield_runtime::byte_stream::ByteStream;
+use lichenfield_runtime::http::{self, Answer};
+use lichenfield_runtime::{Executor, Shared, shared};
+use lichenfield_simulator::instance::{self, Instance, Log};
+use lichenfield_simulator::judge::Judge;
 use smol::Async;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const USAGE: &str = "usage: drone SERVICE IP FIRST-PORT CONTROL\n\
-    instances listen at FIRST-PORT to FIRST-PORT+2, the platform at FIRST-PORT+3; CONTROL is a queen's ip:port";
+const USAGE: &str = "usage: fake-database SERVICE IP FIRST-PORT CONTROL\n\
+    instances listen at FIRST-PORT to FIRST-PORT+2, the platform at FIRST-PORT+3; CONTROL is a controller's ip:port";
 const BEAT: Duration = Duration::from_millis(1000);
 const CALL: Duration = Duration::from_millis(800);
 const PROMOTE: Duration = Duration::from_millis(300);
@@ -46,10 +46,17 @@
     let (Ok(ip), Ok(port), Ok(control)) = (ip.parse::<Ipv4Addr>(), port.parse::<u16>(), control.parse()) else {
         return Err(USAGE.into());
     };
-    comb::run(|hive| serve(hive, service.clone(), ip, port, control)).map_err(|e| format!("can't listen: {e}"))
+    lichenfield_runtime::run(|executor| serve(executor, service.clone(), ip, port, control))
+        .map_err(|e| format!("can't listen: {e}"))
 }
 
-async fn serve(hive: Hive, service: String, ip: Ipv4Addr, port: u16, control: SocketAddrV4) -> std::io::Result<()> {
+async fn serve(
+    executor: Executor,
+    service: String,
+    ip: Ipv4Addr,
+    port: u16,
+    control: SocketAddrV4,
+) -> std::io::Result<()> {
     let instance = |n| Instance::new(format!("i-{}", port + n), &service, "local".into(), n == 0);
     let group = shared(Group {
         instances: (0..INSTANCES).map(instance).collect(),
@@ -57,19 +64,20 @@
         began: Instant::now(),
     });
     for n in 0..INSTANCES {
-        listen(hive, Rc::clone(&group), usize::from(n), SocketAddrV4::new(ip, port + n))?;
+        listen(executor, Rc::clone(&group), usize::from(n), SocketAddrV4::new(ip, port + n))?;
     }
     let platform = Rc::clone(&group);
-    http::serve(hive, SocketAddrV4::new(ip, port + INSTANCES), move |call| {
+    http::serve(executor, SocketAddrV4::new(ip, port + INSTANCES), move |call| {
         println!("platform: {} {}", call.path, String::from_utf8_lossy(&call.body));
         let body: serde_json::Value = serde_json::from_slice(&call.body).unwrap_or_default();
         if let Some(id) = body["id"].as_str().map(str::to_owned) {
             let group = Rc::clone(&platform);
-            hive.spawn(async move {
-                smol::Timer::after(PROMOTE).await;
-                group.borrow_mut().promote(&id);
-            })
-            .detach();
+            executor
+                .spawn(async move {
+                    smol::Timer::after(PROMOTE).await;
+                    group.borrow_mut().promote(&id);
+                })
+                .detach();
         }
         async { Answer::status(200) }
     })?;
@@ -83,7 +91,7 @@
                 beat["address"] = format!("{ip}:{}", usize::from(port) + n).into();
                 (format!("/api/instances/{}", instance.id), beat.to_string())
             };
-            let answer = http::call(hive, control, ("PUT", &path), &[], body.into_bytes(), CALL, || true).await;
+            let answer = http::call(executor, control, ("PUT", &path), &[], body.into_bytes(), CALL, || true).await;
             if let Err(why) = answer {
                 println!("{path}: {why}");
             }
@@ -92,21 +100,22 @@
     }
 }
 
-fn listen(hive: Hive, group: Shared<Group>, n: usize, at: SocketAddrV4) -> std::io::Result<()> {
+fn listen(executor: Executor, group: Shared<Group>, n: usize, at: SocketAddrV4) -> std::io::Result<()> {
     let listener = Async::<TcpListener>::bind(at)?;
-    hive.spawn(async move {
-        let mut conn = 0;
-        while let Ok((stream, _)) = listener.accept().await {
-            conn += 1;
-            hive.spawn(answer(hive, Rc::clone(&group), n, conn, stream)).detach();
-        }
-    })
-    .detach();
+    executor
+        .spawn(async move {
+            let mut conn = 0;
+            while let Ok((stream, _)) = listener.accept().await {
+                conn += 1;
+                executor.spawn(answer(executor, Rc::clone(&group), n, conn, stream)).detach();
+            }
+        })
+        .detach();
     Ok(())
 }
 
-async fn answer(hive: Hive, group: Shared<Group>, n: usize, conn: u64, stream: Async<TcpStream>) {
-    let pipe = Pipe::connected(hive, stream);
+async fn answer(executor: Executor, group: Shared<Group>, n: usize, conn: u64, stream: Async<TcpStream>) {
+    let pipe = ByteStream::connected(executor, stream);
     let back = Rc::clone(&pipe);
     let heard = Rc::clone(&group);
     Rc::clone(&pipe)
--- a/apiary/src/instance.rs
+++ b/simulator/src/instance.rs
@@ -1,8 +1,8 @@
 //! A stand-in for a database instance, by the published protocol.
 
 use crate::judge::{Commit, Judge};
-use brood::connection::lines::{Lines, Next};
-use brood::request::statement::{Statement, parse, word};
+use lichenfield_engine::connection::framing::{LineReader, NextLine};
+use lichenfield_engine::request::statement::{Statement, parse, word};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 pub struct Line {
-    lines: Lines,
+    lines: LineReader,
     open: bool,
     state: char,
     read_only: bool,
@@ -133,7 +133,7 @@
         line.lines.push(bytes.as_bytes());
         let mut answers = String::new();
         let mut end = false;
-        while let Next::Line(text) = line.lines.next_line() {
+        while let NextLine::Line(text) = line.lines.next_line() {
             let (answer, ends) = self.one(now, &mut line, &text, log, judge);
             answers.push_str(&answer);
             if ends {
--- a/apiary/src/judge.rs
+++ b/simulator/src/judge.rs
@@ -1,6 +1,6 @@
 //! What must hold whatever fails; each broken rule is told with its moment.
 
-use brood::process::raft::Entry;
+use lichenfield_engine::process::consensus::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
--- a/apiary/src/scenario.rs
+++ b/simulator/src/scenario.rs
@@ -6,7 +6,7 @@
 /// Runs a scenario for each of its seeds; tells what was broken, with the seed.
 pub fn run(text: &str) -> Result<(), String> {
     let mut seeds = 1..=1;
-    let mut size = Size { queens: 3, spare: 0, foragers: 3, clients: 6, tolerance: 1 };
+    let mut size = Size { controllers: 3, spare: 0, poolers: 3, clients: 6, tolerance: 1 };
     let mut until = Duration::from_secs(15);
     let mut sync = Duration::from_millis(2);
     let mut cap = None;
@@ -22,9 +22,9 @@
                 seeds =
                     a.parse().map_err(|e| format!("{line}: {e}"))?..=b.parse().map_err(|e| format!("{line}: {e}"))?;
             }
-            "queens" => size.queens = number()?,
+            "controllers" => size.controllers = number()?,
             "spare" => size.spare = number()?,
-            "foragers" => size.foragers = number()?,
+            "poolers" => size.poolers = number()?,
             "clients" => size.clients = number()?,
             "tolerance" => size.tolerance = number()?,
             "idle-services" => idle_services = number()?,
--- a/apiary/src/world.rs
+++ b/simulator/src/world/mod.rs
@@ -2,17 +2,17 @@
 
 use crate::instance::{self, Instance, Log};
 use crate::judge::{End, Judge};
-use brood::connection::parting::{CLOSED_AT_ONCE, Phase};
-use brood::connection::session::Position;
-use brood::process::carry::{self, Splice};
-use brood::process::dance::{self, Dance};
-use brood::process::duties::Probed;
-use brood::process::field::{self, Field};
-use brood::process::raft::{Entry, Role, Stored, Write};
-use brood::process::relay::Relay;
-use brood::process::royal::{self, Request, Royal};
-use brood::process::settings::Settings;
-use brood::process::views::{Card, Views};
+use lichenfield_engine::connection::client_session::Position;
+use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
+use lichenfield_engine::process::consensus::{Entry, PersistentState, Role, Write};
+use lichenfield_engine::process::controller::{self, Controller, Request};
+use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
+use lichenfield_engine::process::dissemination::tree::DisseminationTree;
+use lichenfield_engine::process::forwarding::{self, ForwardedSession};
+use lichenfield_engine::process::leadership::HealthCheckResult;
+use lichenfield_engine::process::peer_message::{self, PeerMessage};
+use lichenfield_engine::process::pooler::{self, Pooler};
+use lichenfield_engine::process::settings::Settings;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -30,11 +30,11 @@
 #[derive(Debug)]
 enum Event {
     Tick(usize, u32),
-    Dance(usize, usize, u32, Box<Dance>),
+    PeerMessage(usize, usize, u32, Box<PeerMessage>),
     Synced(usize, u32, u64),
     ToInstance(usize, u32, u64, usize, String),
     FromInstance(usize, u32, u64, usize, Option<String>),
-    Probed(usize, u32, u64, Probed),
+    HealthCheckResult(usize, u32, u64, HealthCheckResult),
     Called(usize, u32, u64, Option<u16>),
     Promote(usize),
     Beat(usize),
@@ -44,19 +44,19 @@
     Do(String),
 }
 
-pub struct Queen {
-    pub royal: Option<Box<Royal>>,
-    disk: Stored,
+pub struct ControllerNode {
+    pub controller: Option<Box<Controller>>,
+    disk: PersistentState,
     writes: VecDeque<(u64, Write)>,
-    held: Vec<(u64, Ipv4Addr, Dance)>,
+    held: Vec<(u64, Ipv4Addr, PeerMessage)>,
     written: u64,
     durable: u64,
     syncing: bool,
 }
 
-pub struct Forager {
-    pub field: Option<Box<Field>>,
-    relay: Option<Box<Relay>>,
+pub struct PoolerNode {
+    pub pooler: Option<Box<Pooler>>,
+    relay: Option<Box<DisseminationTree>>,
     revision: u64,
     /// The newest version acknowledged when this process began.
     floor: u64,
@@ -64,15 +64,15 @@
     left: Option<(Duration, bool)>,
 }
 
-enum Kind {
-    Queen(Queen),
-    Forager(Forager),
+enum NodeKind {
+    Controller(ControllerNode),
+    Pooler(PoolerNode),
 }
 
 pub struct Node {
-    kind: Kind,
+    kind: NodeKind,
     ip: Ipv4Addr,
-    life: u32,
+    incarnation: u32,
     pub up: bool,
     /// Removed for good, or not brought in yet.
     gone: bool,
@@ -82,7 +82,7 @@
 
 /// A client: one session after another, one operation at a time.
 struct Client {
-    forager: usize,
+    pooler: usize,
     session: Option<u64>,
     script: VecDeque<(String, String)>,
     asked: Option<(String, String)>,
@@ -101,9 +101,9 @@
 /// How large a world is.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    pub queens: usize,
+    pub controllers: usize,
     pub spare: usize,
-    pub foragers: usize,
+    pub poolers: usize,
     pub clients: usize,
     pub tolerance: usize,
 }
@@ -116,8 +116,8 @@
     events: HashMap<u64, Event>,
     next: u64,
     pub nodes: Vec<Node>,
-    queens: usize,
-    /// Machines that may be lost at once, and how many of the queens founded the system.
+    controllers: usize,
+    /// Machines that may be lost at once, and how many of the controllers founded the system.
     tolerance: usize,
     founders: usize,
     pub instances: Vec<Instance>,
@@ -126,12 +126,12 @@
     clients: Vec<Client>,
     sessions: HashMap<u64, (usize, usize)>,
     conns: HashMap<(usize, u32, u64), usize>,
-    /// Sessions that the forager they came to passes on: that forager, and what it knows of them.
-    splices: HashMap<u64, (usize, Splice)>,
+    /// Sessions that the pooler they came to passes on: that pooler, and what it knows of them.
+    forwarded_sessions: HashMap<u64, (usize, ForwardedSession)>,
     pub carried: usize,
-    /// Sessions of which something has come that a frozen forager has not read.
+    /// Sessions of which something has come that a frozen pooler has not read.
     unread: HashSet<u64>,
-    /// One way between clients and foragers.
+    /// One way between clients and poolers.
     lag: Duration,
     /// When something last happened that is no planned work.
     troubled: Option<Duration>,
@@ -170,7 +170,7 @@
 const CONTACT: Duration = Duration::from_secs(4);
 /// Limits are counted over any span of this length.
 const QUOTA_SPAN: Duration = Duration::from_secs(5);
-/// New clients come for a while after a forager has told that it leaves.
+/// New clients come for a while after a pooler has told that it leaves.
 const LATECOMERS: Duration = Duration::from_millis(2600);
 /// Actions that are work of the operator's or the world's own; anything else is trouble.
 const PLANNED: [&str; 20] = [
@@ -200,9 +200,9 @@
 const STALE: Duration = Duration::from_millis(1500);
 
 impl World {
-    /// `spare` of the queens' machines stay off until they are brought in.
+    /// `spare` of the controllers' machines stay off until they are brought in.
     pub fn new(seed: u64, size: Size) -> Self {
-        let Size { queens, spare, foragers, clients, tolerance } = size;
+        let Size { controllers, spare, poolers, clients, tolerance } = size;
         let mut world = World {
             now: Duration::ZERO,
             base: Instant::now() + Duration::from_secs(3600),
@@ -211,16 +211,16 @@
             events: HashMap::new(),
             next: 0,
             nodes: Vec::new(),
-            queens: queens + spare,
+            controllers: controllers + spare,
             tolerance,
-            founders: queens,
+            founders: controllers,
             instances: Vec::new(),
             log: Log { term: 1, ..Log::default() },
             cuts: BTreeSet::new(),
             clients: Vec::new(),
             sessions: HashMap::new(),
             conns: HashMap::new(),
-            splices: HashMap::new(),
+            forwarded_sessions: HashMap::new(),
             carried: 0,
             unread: HashSet::new(),
             lag: Duration::from_millis(2),
@@ -244,13 +244,13 @@
             sent: Vec::new(),
             marked: None,
         };
-        for n in 0..queens + spare + foragers {
+        for n in 0..controllers + spare + poolers {
             let ip = address(n);
-            let kind = if n < queens + spare {
+            let kind = if n < controllers + spare {
                 let id = world.rng.u64(1..);
-                let disk = Stored { id, ..Stored::default() };
-                Kind::Queen(Queen {
-                    royal: None,
+                let disk = PersistentState { id, ..PersistentState::default() };
+                NodeKind::Controller(ControllerNode {
+                    controller: None,
                     disk,
                     writes: VecDeque::new(),
                     held: Vec::new(),
@@ -259,11 +259,11 @@
                     syncing: false,
                 })
             } else {
-                Kind::Forager(Forager { field: None, relay: None, revision: 0, floor: 0, left: None })
+                NodeKind::Pooler(PoolerNode { pooler: None, relay: None, revision: 0, floor: 0, left: None })
             };
-            world.nodes.push(Node { kind, ip, life: 0, up: false, gone: false, frozen: false, tick_at: None });
+            world.nodes.push(Node { kind, ip, incarnation: 0, up: false, gone: false, frozen: false, tick_at: None });
             world.applied.push(0);
-            if n < queens || n >= queens + spare {
+            if n < controllers || n >= controllers + spare {
                 world.start(n, true);
             } else {
                 world.nodes[n].gone = true;
@@ -274,7 +274,7 @@
         }
         for n in 0..clients {
             world.clients.push(Client {
-                forager: queens + spare + n % foragers.max(1),
+                pooler: controllers + spare + n % poolers.max(1),
                 session: None,
                 script: VecDeque::new(),
                 asked: None,
@@ -319,11 +319,11 @@
         self.plan(Duration::from_millis(1500), "idlebeats");
     }
 
-    /// Bytes a second since the mark: the foragers' mean, and the most that one daemon has sent.
+    /// Bytes a second since the mark: the poolers' mean, and the most that one daemon has sent.
     pub fn upkeep(&self) -> (f64, f64) {
         let span = self.marked.map_or(1.0, |at| (self.now - at).as_secs_f64());
-        let foragers = self.sent.iter().skip(self.queens);
-        let mean = foragers.sum::<u64>() as f64 / (self.nodes.len() - self.queens).max(1) as f64;
+        let poolers = self.sent.iter().skip(self.controllers);
+        let mean = poolers.sum::<u64>() as f64 / (self.nodes.len() - self.controllers).max(1) as f64;
         (mean / span, self.sent.iter().max().copied().unwrap_or(0) as f64 / span)
     }
 
@@ -341,13 +341,13 @@
     fn settings(&self, node: usize, bootstrap: bool) -> Settings {
         let ip = self.nodes[node].ip;
         // The operator's list as it stands: the first three machines that are there.
-        let listed = (0..self.queens).filter(|q| self.nodes.get(*q).map_or(*q < self.founders, |n| !n.gone));
+        let listed = (0..self.controllers).filter(|q| self.nodes.get(*q).map_or(*q < self.founders, |n| !n.gone));
         let seeds: Vec<String> = listed.take(3).map(|q| format!("\"{}:80\"", address(q))).collect();
         let text = format!(
             "node-name = \"n{node}\"\nip = \"{ip}\"\nzone = \"z{}\"\ninternal-ports = [7000, 7001]\nseed-nodes = [{}]\nbootstrap = {bootstrap}\nin-quorum = {}\nbeat-ms = 1200\n[tolerance]\nmachines = {}\n[listen]\ncontrol = \"{ip}:80\"\n[platform]\naddress = \"10.8.0.1:80\"\n",
             node % 3,
             seeds.join(","),
-            node < self.queens,
+            node < self.controllers,
             self.tolerance
         );
         Settings::read(&text).expect("the simulation's own settings")
@@ -363,16 +363,16 @@
         let node = &mut self.nodes[n];
         node.up = true;
         node.frozen = false;
-        node.life += 1;
+        node.incarnation += 1;
         node.tick_at = None;
         match &mut node.kind {
-            Kind::Queen(q) => {
-                q.royal = Some(Box::new(Royal::new(now, &settings, q.disk.clone(), rng)));
+            NodeKind::Controller(q) => {
+                q.controller = Some(Box::new(Controller::new(now, &settings, q.disk.clone(), rng)));
                 (q.written, q.durable, q.syncing) = (0, 0, false);
                 self.applied[n] = 0;
             }
-            Kind::Forager(f) => {
-                let card = Card {
+            NodeKind::Pooler(f) => {
+                let descriptor = PeerDescriptor {
                     name: settings.node_name.clone(),
                     ip: settings.ip,
                     zone: settings.zone.clone(),
@@ -380,14 +380,20 @@
                     age: 0,
                 };
                 let seeds = settings.seed_nodes.iter().map(|s| *s.ip()).collect();
-                f.field = Some(Box::new(Field::new(
+                f.pooler = Some(Box::new(Pooler::new(
                     now,
                     &settings.node_name,
                     &settings.zone,
                     settings.timing_bounds.clone(),
                     seed,
                 )));
-                f.relay = Some(Box::new(Relay::new(now, Views::new(card, rng), seeds, false, LINK_MBPS)));
+                f.relay = Some(Box::new(DisseminationTree::new(
+                    now,
+                    PartialView::new(descriptor, rng),
+                    seeds,
+                    false,
+                    LINK_MBPS,
+                )));
                 f.revision = 0;
                 f.floor = self.acked_revision;
                 f.left = None;
@@ -400,41 +406,46 @@
     pub fn stop(&mut self, n: usize, power: bool) {
         let node = &mut self.nodes[n];
         node.up = false;
-        node.life += 1;
+        node.incarnation += 1;
         let mut keep = usize::MAX;
         if power {
             keep = self.rng.usize(0..3);
         }
         match &mut node.kind {
-            Kind::Queen(q) => {
-                q.royal = None;
+            NodeKind::Controller(q) => {
+                q.controller = None;
                 let writes: Vec<Write> = q.writes.drain(..).map(|(_, w)| w).take(keep).collect();
                 for write in writes {
-                    q.disk.take(write);
+                    q.disk.apply(write);
                 }
                 q.held.clear();
             }
-            Kind::Forager(f) => {
-                f.field = None;
+            NodeKind::Pooler(f) => {
+                f.pooler = None;
                 f.relay = None;
             }
         }
-        let through = |sid: &u64| self.splices.get(sid).is_some_and(|(door, _)| *door == n);
-        let ended: Vec<u64> =
-            self.sessions.iter().filter(|(sid, (f, _))| *f == n || through(sid)).map(|(s, _)| *s).collect();
-        for sid in ended {
-            // The forager that a carried session came to has the last word.
-            if let Some((door, splice)) = self.splices.get_mut(&sid)
+        let through = |session_id: &u64| self.forwarded_sessions.get(session_id).is_some_and(|(door, _)| *door == n);
+        let ended: Vec<u64> = self
+            .sessions
+            .iter()
+            .filter(|(session_id, (f, _))| *f == n || through(session_id))
+            .map(|(s, _)| *s)
+            .collect();
+        for session_id in ended {
+            // The pooler that a carried session came to has the last word.
+            if let Some((door, session)) = self.forwarded_sessions.get_mut(&session_id)
                 && *door != n
             {
-                let last = splice.sever();
-                self.tell(sid, self.lag, last);
+                let last = session.sever();
+                self.tell(session_id, self.lag, last);
             }
-            let rests = |(_, s): &(usize, Splice)| s.may_close(self.base + self.now, Phase::Serves, false);
-            if self.splices.get(&sid).is_none_or(|s| s.0 == n || rests(s)) {
-                self.hang_up(sid);
+            let rests =
+                |(_, s): &(usize, ForwardedSession)| s.may_close(self.base + self.now, DrainPhase::Serving, false);
+            if self.forwarded_sessions.get(&session_id).is_none_or(|s| s.0 == n || rests(s)) {
+                self.hang_up(session_id);
             } else {
-                self.plan(self.now + Duration::from_millis(200), &format!("severed {sid}"));
+                self.plan(self.now + Duration::from_millis(200), &format!("severed {session_id}"));
             }
         }
         let conns: Vec<((usize, u32, u64), usize)> =
@@ -447,14 +458,16 @@
 
     fn wipe(&mut self, n: usize) {
         let id = self.rng.u64(1..);
-        if let Kind::Queen(q) = &mut self.nodes[n].kind {
-            q.disk = Stored { id, ..Stored::default() };
+        if let NodeKind::Controller(q) = &mut self.nodes[n].kind {
+            q.disk = PersistentState { id, ..PersistentState::default() };
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &Node| match &n.kind {
-            Kind::Queen(Queen { royal: Some(r), .. }) if r.raft().role() == Role::Leader => Some(r.raft().term()),
+            NodeKind::Controller(ControllerNode { controller: Some(r), .. }) if r.raft().role() == Role::Leader => {
+                Some(r.raft().term())
+            }
             _ => None,
         };
         self.nodes.iter().enumerate().filter_map(|(at, n)| leads(n).map(|t| (t, at))).max().map(|(_, at)| at)
@@ -489,28 +502,30 @@
         self.now = until;
     }
 
-    fn live(&self, n: usize, life: u32) -> bool {
-        self.nodes[n].up && self.nodes[n].life == life
+    fn live(&self, n: usize, incarnation: u32) -> bool {
+        self.nodes[n].up && self.nodes[n].incarnation == incarnation
     }
 
     fn handle(&mut self, event: Event) {
         // A frozen process takes things up when it thaws.
         let frozen = match &event {
             Event::Tick(n, _)
-            | Event::Dance(_, n, ..)
+            | Event::PeerMessage(_, n, ..)
             | Event::Synced(n, ..)
             | Event::FromInstance(n, ..)
-            | Event::Probed(n, ..)
+            | Event::HealthCheckResult(n, ..)
             | Event::Called(n, ..) => self.nodes[*n].frozen,
-            Event::FromClient(sid, _) => self.sessions.get(sid).is_some_and(|(n, _)| self.nodes[*n].frozen),
+            Event::FromClient(session_id, _) => {
+                self.sessions.get(session_id).is_some_and(|(n, _)| self.nodes[*n].frozen)
+            }
             _ => false,
         };
-        if let Event::FromClient(sid, text) = &event {
+        if let Event::FromClient(session_id, text) = &event {
             let waits = frozen && text.is_some();
             if waits {
-                self.unread.insert(*sid)
+                self.unread.insert(*session_id)
             } else {
-                self.unread.remove(sid)
+                self.unread.remove(session_id)
             };
         }
         if frozen {
@@ -518,28 +533,34 @@
         }
         let now = self.at();
         match event {
-            Event::Tick(n, life) => {
-                if self.live(n, life) {
+            Event::Tick(n, incarnation) => {
+                if self.live(n, incarnation) {
                     self.nodes[n].tick_at = None;
                     self.tick(n);
                 }
             }
-            Event::Dance(from, n, life, dance) => {
-                if self.live(n, life) && !self.cuts.contains(&(from, n)) {
+            Event::PeerMessage(from, n, incarnation, message) => {
+                if self.live(n, incarnation) && !self.cuts.contains(&(from, n)) {
                     let ip = self.nodes[from].ip;
                     match &mut self.nodes[n].kind {
-                        Kind::Queen(Queen { royal: Some(royal), .. }) => royal.dance(now, ip, *dance),
-                        Kind::Forager(Forager { field: Some(field), relay: Some(relay), .. }) => {
-                            match relay.receive(now, ip, *dance) {
-                                Some(Dance::Grant(grant)) => {
-                                    relay.leader_answered(now, ip, grant.digests.as_ref());
-                                    field.granted(now, ip, grant);
+                        NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) => {
+                            controller.handle_peer_message(now, ip, *message)
+                        }
+                        NodeKind::Pooler(PoolerNode { pooler: Some(pooler), relay: Some(relay), .. }) => {
+                            match relay.handle_message(now, ip, *message) {
+                                Some(PeerMessage::LeaseGrant(grant)) => {
+                                    relay.note_leader_answer(now, ip, grant.digests.as_ref());
+                                    pooler.handle_lease_grant(now, ip, grant);
+                                }
+                                Some(PeerMessage::RightsGrant { nonce, span, term, transfers }) => {
+                                    pooler.handle_rights_grant(now, nonce, span, term, transfers)
+                                }
+                                Some(PeerMessage::LeaderRedirect { leader }) => {
+                                    pooler.handle_leader_redirect(now, leader)
                                 }
-                                Some(Dance::Poured { nonce, span, term, pours }) => {
-                                    field.poured(now, nonce, span, term, pours)
+                                Some(PeerMessage::LeaseRecall { service, epoch }) => {
+                                    pooler.handle_lease_recall(now, ip, &service, epoch)
                                 }
-                                Some(Dance::Led { leader }) => field.led(now, leader),
-                                Some(Dance::Recall { service, epoch }) => field.recalled(now, ip, &service, epoch),
                                 _ => {}
                             }
                         }
@@ -548,64 +569,68 @@
                     self.drain(n);
                 }
             }
-            Event::Synced(n, life, number) => {
-                if self.live(n, life)
-                    && let Kind::Queen(q) = &mut self.nodes[n].kind
+            Event::Synced(n, incarnation, number) => {
+                if self.live(n, incarnation)
+                    && let NodeKind::Controller(q) = &mut self.nodes[n].kind
                 {
                     while q.writes.front().is_some_and(|(w, _)| *w <= number) {
                         if let Some((_, write)) = q.writes.pop_front() {
-                            q.disk.take(write);
+                            q.disk.apply(write);
                         }
                     }
                     q.durable = number;
                     q.syncing = false;
-                    if let Some(royal) = &mut q.royal {
-                        royal.durable(now, number);
+                    if let Some(controller) = &mut q.controller {
+                        controller.durable(now, number);
                     }
                     self.drain(n);
                 }
             }
-            Event::ToInstance(n, life, conn, i, text) => self.reach_instance(n, life, conn, i, &text),
-            Event::FromInstance(n, life, conn, i, text) => {
-                if !self.live(n, life) || self.instances[i].dark {
+            Event::ToInstance(n, incarnation, conn, i, text) => self.reach_instance(n, incarnation, conn, i, &text),
+            Event::FromInstance(n, incarnation, conn, i, text) => {
+                if !self.live(n, incarnation) || self.instances[i].dark {
                     return;
                 }
-                if let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[n].kind {
+                if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[n].kind {
                     match text {
-                        Some(text) => field.instance_bytes(now, conn, text.as_bytes()),
+                        Some(text) => pooler.handle_backend_bytes(now, conn, text.as_bytes()),
                         None => {
-                            self.conns.remove(&(n, life, conn));
-                            field.instance_gone(now, conn);
+                            self.conns.remove(&(n, incarnation, conn));
+                            pooler.handle_backend_closed(now, conn);
                         }
                     }
                 }
                 self.drain(n);
             }
-            Event::Probed(n, life, token, result) => {
-                if self.live(n, life) {
-                    if let Kind::Queen(Queen { royal: Some(royal), .. }) = &mut self.nodes[n].kind {
-                        royal.probed(now, token, result);
+            Event::HealthCheckResult(n, incarnation, token, result) => {
+                if self.live(n, incarnation) {
+                    if let NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) =
+                        &mut self.nodes[n].kind
+                    {
+                        controller.health_check_finished(now, token, result);
                     }
                     self.drain(n);
                 }
             }
-            Event::Called(n, life, token, status) => {
-                if self.live(n, life) {
-                    if let Kind::Queen(Queen { royal: Some(royal), .. }) = &mut self.nodes[n].kind {
-                        royal.called(now, token, status);
+            Event::Called(n, incarnation, token, status) => {
+                if self.live(n, incarnation) {
+                    if let NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) =
+                        &mut self.nodes[n].kind
+                    {
+                        controller.platform_call_finished(now, token, status);
                     }
                     self.drain(n);
                 }
             }
             Event::Promote(i) => self.promote(i),
             Event::Beat(i) => self.beat(i),
-            Event::ToClient(c, sid, text) => self.client_hears(c, sid, text),
-            Event::FromClient(sid, text) => {
-                let Some((n, _)) = self.sessions.get(&sid).copied() else { return };
-                if let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[n].kind {
+            Event::ToClient(c, session_id, text) => self.client_hears(c, session_id, text),
+            Event::FromClient(session_id, text) => {
+                let Some((n, _)) = self.sessions.get(&session_id).copied() else { return };
+                if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[n].kind {
                     match text {
-                        Some(text) => field.client_bytes(now, sid, text.as_bytes()),
-                        None => field.client_gone(now, sid),
+                        Some(text) => pooler.handle_client_bytes(now, session_id, text.as_bytes()),
+                        None => pooler.handle_client_closed(now, session_id),
                     }
                     self.drain(n);
                 }
@@ -619,10 +644,10 @@
         let now = self.at();
         let wall = WALL + self.now;
         match &mut self.nodes[n].kind {
-            Kind::Queen(Queen { royal: Some(royal), .. }) => royal.tick(now, wall),
-            Kind::Forager(Forager { field: Some(field), relay: Some(relay), .. }) => {
+            NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) => controller.tick(now, wall),
+            NodeKind::Pooler(PoolerNode { pooler: Some(pooler), relay: Some(relay), .. }) => {
                 relay.tick(now);
-                field.tick(now, wall.as_secs() / 5);
+                pooler.tick(now, wall.as_secs() / 5);
             }
             _ => {}
         }
@@ -632,78 +657,80 @@
     /// Performs a daemon's effects and arms its next tick.
     fn drain(&mut self, n: usize) {
         let now = self.at();
-        let life = self.nodes[n].life;
+        let incarnation = self.nodes[n].incarnation;
         let due = match &mut self.nodes[n].kind {
-            Kind::Queen(q) => {
-                let Some(royal) = &mut q.royal else { return };
-                let effects = royal.effects();
-                let due = royal.wake(now);
-                let (role, term) = (royal.raft().role(), royal.raft().term());
+            NodeKind::Controller(q) => {
+                let Some(controller) = &mut q.controller else { return };
+                let effects = controller.effects();
+                let due = controller.next_wakeup(now);
+                let (role, term) = (controller.raft().role(), controller.raft().term());
                 let mut ready = Vec::new();
                 for effect in effects {
                     match effect {
-                        royal::Effect::Write(number, write) => {
+                        controller::Effect::Write(number, write) => {
                             q.written = number;
                             q.writes.push_back((number, write));
                         }
-                        royal::Effect::Send(to, dance, after) if after > q.durable => q.held.push((after, to, dance)),
+                        controller::Effect::Send(to, message, after) if after > q.durable => {
+                            q.held.push((after, to, message))
+                        }
                         effect => ready.push(effect),
                     }
                 }
                 let (out, waiting) = q.held.drain(..).partition(|(after, ..)| *after <= q.durable);
                 q.held = waiting;
                 let out: Vec<_> = out;
-                ready.extend(out.into_iter().map(|(after, to, dance)| royal::Effect::Send(to, dance, after)));
+                ready.extend(out.into_iter().map(|(after, to, message)| controller::Effect::Send(to, message, after)));
                 let sync = !q.syncing && !q.writes.is_empty();
                 q.syncing |= sync;
                 let written = q.written;
                 if sync {
-                    self.after(self.sync, Event::Synced(n, life, written));
+                    self.after(self.sync, Event::Synced(n, incarnation, written));
                 }
                 if role == Role::Leader {
                     self.judge.leads(self.now, term, n);
                 }
                 self.check_applied(n);
                 for effect in ready {
-                    self.royal_effect(n, life, effect);
+                    self.perform_controller_effect(n, incarnation, effect);
                 }
                 due
             }
-            Kind::Forager(f) => {
-                let (Some(field), Some(relay)) = (&mut f.field, &mut f.relay) else { return };
-                field.heard_news(now, relay);
-                let news = relay.news();
+            NodeKind::Pooler(f) => {
+                let (Some(pooler), Some(relay)) = (&mut f.pooler, &mut f.relay) else { return };
+                pooler.observe_tree(now, relay);
+                let news = relay.take_updates();
                 if !news.is_empty() {
-                    field.learn(now, &news);
+                    pooler.apply_updates(now, &news);
                 }
-                let mut sends: Vec<(Ipv4Addr, Dance)> = relay.messages();
+                let mut sends: Vec<(Ipv4Addr, PeerMessage)> = relay.take_messages();
                 let mut effects = Vec::new();
                 loop {
-                    field.settle(now);
-                    let more = field.effects();
+                    pooler.finish_input(now);
+                    let more = pooler.effects();
                     if more.is_empty() {
                         break;
                     }
                     effects.extend(more);
                 }
-                let due = field.next_due().min(relay.next_due());
-                if field.revision() > 0 && field.revision() < f.floor {
-                    let what = format!("CONFIG: n{n} begins with {}, {} was in force", field.revision(), f.floor);
+                let due = pooler.next_due().min(relay.next_due());
+                if pooler.revision() > 0 && pooler.revision() < f.floor {
+                    let what = format!("CONFIG: n{n} begins with {}, {} was in force", pooler.revision(), f.floor);
                     self.judge.breaks(self.now, what);
                 }
-                let back = field.revision() < f.revision;
-                f.revision = field.revision();
+                let back = pooler.revision() < f.revision;
+                f.revision = pooler.revision();
                 if back {
                     self.judge.breaks(self.now, format!("CONFIG: n{n} goes back"));
                 }
                 for effect in effects {
                     match effect {
-                        field::Effect::Send(to, dance) => sends.push((to, dance)),
-                        effect => self.field_effect(n, life, effect),
+                        pooler::Effect::Send(to, message) => sends.push((to, message)),
+                        effect => self.perform_pooler_effect(n, incarnation, effect),
                     }
                 }
-                for (to, dance) in sends {
-                    self.post(n, to, dance);
+                for (to, message) in sends {
+                    self.post(n, to, message);
                 }
                 due
             }
@@ -711,37 +738,39 @@
         let at = due.saturating_duration_since(self.base).max(self.now + Duration::from_micros(200));
         if self.nodes[n].tick_at.is_none_or(|t| at < t) {
             self.nodes[n].tick_at = Some(at);
-            self.after(at - self.now, Event::Tick(n, life));
+            self.after(at - self.now, Event::Tick(n, incarnation));
         }
     }
 
     fn check_applied(&mut self, n: usize) {
-        let Kind::Queen(Queen { royal: Some(royal), .. }) = &self.nodes[n].kind else { return };
-        let (index, from) = (royal.ledger().index, self.applied[n]);
+        let NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) = &self.nodes[n].kind else {
+            return;
+        };
+        let (index, from) = (controller.control_state().applied_index, self.applied[n]);
         let entries: Vec<(u64, Entry)> =
-            (from + 1..=index).filter_map(|i| royal.raft().entry(i).map(|e| (i, e.clone()))).collect();
+            (from + 1..=index).filter_map(|i| controller.raft().entry(i).map(|e| (i, e.clone()))).collect();
         self.applied[n] = index;
         for (i, entry) in entries {
             self.judge.applies(self.now, i, &entry);
         }
     }
 
-    fn post(&mut self, from: usize, to: Ipv4Addr, dance: Dance) {
+    fn post(&mut self, from: usize, to: Ipv4Addr, message: PeerMessage) {
         let Some(n) = self.node_of(to) else { return };
         if !self.nodes[n].up || self.cuts.contains(&(from, n)) {
             return;
         }
         if self.marked.is_some() {
-            self.sent[from] += dance::encode(&dance).len() as u64;
+            self.sent[from] += peer_message::encode(&message).len() as u64;
         }
-        let (delay, life) = (self.delay(), self.nodes[n].life);
-        self.after(delay, Event::Dance(from, n, life, Box::new(dance)));
+        let (delay, incarnation) = (self.delay(), self.nodes[n].incarnation);
+        self.after(delay, Event::PeerMessage(from, n, incarnation, Box::new(message)));
     }
 
-    fn royal_effect(&mut self, n: usize, life: u32, effect: royal::Effect) {
+    fn perform_controller_effect(&mut self, n: usize, incarnation: u32, effect: controller::Effect) {
         match effect {
-            royal::Effect::Send(to, dance, _) => self.post(n, to, dance),
-            royal::Effect::Reply(token, response) => {
+            controller::Effect::Send(to, message, _) => self.post(n, to, message),
+            controller::Effect::Reply(token, response) => {
                 if token > 0 && token < 1_000_000 {
                     match response.status {
                         200 => {
@@ -762,32 +791,31 @@
                     self.raced += usize::from(response.status == 200);
                 }
             }
-            royal::Effect::Probe { token, instance, text } => {
+            controller::Effect::HealthCheck { token, instance, text } => {
                 let i = self.instances.iter().position(|i| i.id == instance.id && i.up && !i.dark);
                 let result = match i {
                     None if self.idle.iter().any(|i| i.id == instance.id) => {
-                        Probed::Status { primary: true, term: 1, received: Position { term: 1, number: 0 } }
+                        HealthCheckResult::Status { primary: true, term: 1, received: Position { term: 1, number: 0 } }
                     }
-                    None => Probed::Failed,
+                    None => HealthCheckResult::Failed,
                     Some(i) => {
                         let key = u64::MAX - token;
                         let hello = format!("CONNECT {SERVICE} - {}\r\nQUERY - {text}\r\n", instance.id);
                         self.instances[i].follow(self.now, &self.log);
                         let (answer, _) = self.instances[i].take(self.now, key, &hello, &mut self.log, &mut self.judge);
                         self.instances[i].lines.remove(&key);
-                        answer
-                            .split("ROW ")
-                            .nth(1)
-                            .map_or(Probed::Failed, |row| Probed::read(row.split("\r\n").next().unwrap_or_default()))
+                        answer.split("ROW ").nth(1).map_or(HealthCheckResult::Failed, |row| {
+                            HealthCheckResult::read(row.split("\r\n").next().unwrap_or_default())
+                        })
                     }
                 };
                 let patience = if i.is_none() { Duration::from_millis(100) } else { Duration::from_millis(3) };
-                self.after(patience, Event::Probed(n, life, token, result));
+                self.after(patience, Event::HealthCheckResult(n, incarnation, token, result));
             }
-            royal::Effect::Call { token, path, fence, body } => {
+            controller::Effect::PlatformCall { token, path, fence, body } => {
                 let status = if !self.platform_up { None } else { Some(self.platform(n, path, fence, &body)) };
                 let patience = if status.is_none() { Duration::from_millis(300) } else { Duration::from_millis(4) };
-                self.after(patience, Event::Called(n, life, token, status));
+                self.after(patience, Event::Called(n, incarnation, token, status));
             }
             _ => {}
         }
@@ -832,7 +860,8 @@
         if self.instances[i].up && !self.instances[i].dark && !self.instances[i].quiet {
             let body = self.instances[i].beat();
             let token = if self.instances[i].draining { LEAVING + i as u64 } else { 0 };
-            let at: Vec<usize> = (0..self.queens).filter(|q| self.nodes[*q].up && !self.nodes[*q].frozen).collect();
+            let at: Vec<usize> =
+                (0..self.controllers).filter(|q| self.nodes[*q].up && !self.nodes[*q].frozen).collect();
             if !at.is_empty() {
                 let q = at[self.rng.usize(0..at.len())];
                 let path = format!("/api/instances/{}", self.instances[i].id);
@@ -846,144 +875,146 @@
         let now = self.at();
         let request =
             Request { method: method.into(), path: path.into(), if_match: if_match.map(|v| v.to_string()), body };
-        if let Kind::Queen(Queen { royal: Some(royal), .. }) = &mut self.nodes[q].kind {
-            royal.request(now, token, request);
+        if let NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) = &mut self.nodes[q].kind {
+            controller.request(now, token, request);
         }
         self.drain(q);
     }
 
-    fn field_effect(&mut self, n: usize, life: u32, effect: field::Effect) {
+    fn perform_pooler_effect(&mut self, n: usize, incarnation: u32, effect: pooler::Effect) {
         match effect {
-            field::Effect::ToClient(sid, mut text) => {
-                if let Some((door, splice)) = self.splices.get_mut(&sid) {
-                    let heard = splice.carrier_said(text.as_bytes());
+            pooler::Effect::ToClient(session_id, mut text) => {
+                if let Some((door, session)) = self.forwarded_sessions.get_mut(&session_id) {
+                    let heard = session.carrier_said(text.as_bytes());
                     text = String::from_utf8_lossy(&heard.down).into_owned();
                     let door = *door;
-                    if let (Some(seen), Kind::Forager(Forager { field: Some(field), .. })) =
+                    if let (Some(seen), NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. })) =
                         (heard.seen, &mut self.nodes[door].kind)
                     {
-                        field.require(seen);
+                        pooler.require_revision(seen);
                     }
                     let (now, phase) = (self.base + self.now, self.phase(door));
-                    let closes = |(_, s): &(usize, Splice)| s.may_close(now, phase, true);
-                    let answered = !text.is_empty() && self.splices.get(&sid).is_some_and(closes);
-                    self.tell(sid, self.lag, text);
+                    let closes = |(_, s): &(usize, ForwardedSession)| s.may_close(now, phase, true);
+                    let answered = !text.is_empty() && self.forwarded_sessions.get(&session_id).is_some_and(closes);
+                    self.tell(session_id, self.lag, text);
                     if heard.part || answered {
-                        self.part(sid);
+                        self.part(session_id);
                     }
                     return;
                 }
-                self.tell(sid, self.lag, text);
+                self.tell(session_id, self.lag, text);
             }
-            field::Effect::CloseClient(sid) => self.hang_up(sid),
-            field::Effect::Part(sid) => self.part(sid),
-            field::Effect::Open(conn, address) => {
+            pooler::Effect::CloseClient(session_id) => self.hang_up(session_id),
+            pooler::Effect::CloseIfIdle(session_id) => self.part(session_id),
+            pooler::Effect::OpenBackend(conn, address) => {
                 let i = self.instances.iter().position(|i| i.address() == address.to_string());
                 match i {
                     Some(i) if self.instances[i].up || self.instances[i].dark => {
-                        self.conns.insert((n, life, conn), i);
+                        self.conns.insert((n, incarnation, conn), i);
                     }
-                    _ => self.after(Duration::from_millis(1), Event::FromInstance(n, life, conn, 0, None)),
+                    _ => self.after(Duration::from_millis(1), Event::FromInstance(n, incarnation, conn, 0, None)),
                 }
             }
-            field::Effect::ToInstance(conn, text) => {
-                if let Some(i) = self.conns.get(&(n, life, conn)).copied() {
+            pooler::Effect::ToBackend(conn, text) => {
+                if let Some(i) = self.conns.get(&(n, incarnation, conn)).copied() {
                     let delay = self.delay();
-                    self.after(delay, Event::ToInstance(n, life, conn, i, text));
+                    self.after(delay, Event::ToInstance(n, incarnation, conn, i, text));
                 }
             }
-            field::Effect::CloseInstance(conn) => {
-                if let Some(i) = self.conns.remove(&(n, life, conn)) {
-                    self.instances[i].lines.remove(&line_key((n, life, conn)));
+            pooler::Effect::CloseBackend(conn) => {
+                if let Some(i) = self.conns.remove(&(n, incarnation, conn)) {
+                    self.instances[i].lines.remove(&line_key((n, incarnation, conn)));
                 }
             }
-            field::Effect::Send(..) | field::Effect::Note(_) => {}
+            pooler::Effect::Send(..) | pooler::Effect::Log(_) => {}
         }
     }
 
     /// A session's client hears something, if there is something.
-    fn tell(&mut self, sid: u64, delay: Duration, text: String) {
-        if let Some((_, c)) = self.sessions.get(&sid).copied()
+    fn tell(&mut self, session_id: u64, delay: Duration, text: String) {
+        if let Some((_, c)) = self.sessions.get(&session_id).copied()
             && !text.is_empty()
         {
-            self.after(delay, Event::ToClient(c, sid, Some(text)));
+            self.after(delay, Event::ToClient(c, session_id, Some(text)));
         }
     }
 
     /// A session's client learns of the end; whoever serves it too.
-    fn hang_up(&mut self, sid: u64) {
-        if let Some((_, c)) = self.sessions.get(&sid).copied() {
-            self.after(self.lag, Event::ToClient(c, sid, None));
-            self.after(Duration::ZERO, Event::FromClient(sid, None));
+    fn hang_up(&mut self, session_id: u64) {
+        if let Some((_, c)) = self.sessions.get(&session_id).copied() {
+            self.after(self.lag, Event::ToClient(c, session_id, None));
+            self.after(Duration::ZERO, Event::FromClient(session_id, None));
         }
-        self.splices.remove(&sid);
+        self.forwarded_sessions.remove(&session_id);
     }
 
     /// Closes a session unless something has come that was not read yet.
-    fn part(&mut self, sid: u64) {
-        if !self.unread.contains(&sid) {
-            return self.hang_up(sid);
+    fn part(&mut self, session_id: u64) {
+        if !self.unread.contains(&session_id) {
+            return self.hang_up(session_id);
         }
         let now = self.at();
-        let Some((n, _)) = self.sessions.get(&sid).copied() else { return };
-        if let Some((_, splice)) = self.splices.get_mut(&sid) {
-            splice.gait.stirs(now);
-        } else if let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[n].kind {
-            field.stirs(now, sid);
+        let Some((n, _)) = self.sessions.get(&session_id).copied() else { return };
+        if let Some((_, session)) = self.forwarded_sessions.get_mut(&session_id) {
+            session.activity.stirs(now);
+        } else if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[n].kind {
+            pooler.note_unread_bytes(now, session_id);
         }
     }
 
-    fn phase(&self, n: usize) -> Phase {
+    fn phase(&self, n: usize) -> DrainPhase {
         match &self.nodes[n].kind {
-            Kind::Forager(Forager { left: Some((since, _)), .. }) => Phase::after(self.now - *since, GRACE),
-            _ => Phase::Serves,
+            NodeKind::Pooler(PoolerNode { left: Some((since, _)), .. }) => DrainPhase::after(self.now - *since, GRACE),
+            _ => DrainPhase::Serving,
         }
     }
 
-    /// One look of a leaving forager at the sessions that came to it.
+    /// One look of a leaving pooler at the sessions that came to it.
     fn leaving_turn(&mut self, n: usize) {
         let (now, phase) = (self.at(), self.phase(n));
-        let Kind::Forager(Forager { field: Some(field), left: Some((since, again)), .. }) = &mut self.nodes[n].kind
+        let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), left: Some((since, again)), .. }) =
+            &mut self.nodes[n].kind
         else {
             return;
         };
         let (since, again) = (*since, *again);
-        let through: Vec<u64> = self.splices.iter().filter(|(_, (door, _))| *door == n).map(|(s, _)| *s).collect();
+        let through: Vec<u64> =
+            self.forwarded_sessions.iter().filter(|(_, (door, _))| *door == n).map(|(s, _)| *s).collect();
         let idle = through.is_empty() && self.sessions.values().all(|(f, _)| *f != n);
-        if phase == Phase::Over || (idle && self.now - since > LATECOMERS) {
+        if phase == DrainPhase::Finished || (idle && self.now - since > LATECOMERS) {
             self.stop(n, false);
             if again {
-                self.plan(self.now + Duration::from_millis(300), &format!("add forager{}", n - self.queens));
+                self.plan(self.now + Duration::from_millis(300), &format!("add pooler{}", n - self.controllers));
             }
             return;
         }
         match phase {
-            Phase::Ends => field.finish(now),
-            _ => field.close_resting(now, phase),
+            DrainPhase::Closing => pooler.close_all_sessions(now),
+            _ => pooler.close_idle_sessions(now, phase),
         }
         let mut closed = 0;
-        for sid in through {
-            let Some((_, splice)) = self.splices.get_mut(&sid) else { continue };
-            let cuts = phase == Phase::Ends || (phase == Phase::Cuts && splice.is_open());
-            let last = if cuts && !splice.is_severed() { splice.sever() } else { String::new() };
-            let may = splice.may_close(now, phase, false) && (closed < CLOSED_AT_ONCE || phase == Phase::Ends);
-            self.tell(sid, self.lag, last);
+        for session_id in through {
+            let Some((_, session)) = self.forwarded_sessions.get_mut(&session_id) else { continue };
+            let cuts = phase == DrainPhase::Closing || (phase == DrainPhase::RollingBack && session.is_open());
+            let last = if cuts && !session.is_severed() { session.sever() } else { String::new() };
+            let may = session.may_close(now, phase, false) && (closed < CLOSED_AT_ONCE || phase == DrainPhase::Closing);
+            self.tell(session_id, self.lag, last);
             if may {
                 closed += 1;
-                self.part(sid);
+                self.part(session_id);
             }
         }
         self.drain(n);
         self.plan(self.now + Duration::from_millis(50), &format!("turn {n}"));
     }
 
-    fn reach_instance(&mut self, n: usize, life: u32, conn: u64, i: usize, text: &str) {
-        if self.conns.get(&(n, life, conn)) != Some(&i) || self.instances[i].dark {
+    fn reach_instance(&mut self, n: usize, incarnation: u32, conn: u64, i: usize, text: &str) {
+        if self.conns.get(&(n, incarnation, conn)) != Some(&i) || self.instances[i].dark {
             return;
         }
         if !self.instances[i].up {
-            self.conns.remove(&(n, life, conn));
-            return self.after(Duration::from_millis(1), Event::FromInstance(n, life, conn, i, None));
+            self.conns.remove(&(n, incarnation, conn));
+            return self.after(Duration::from_millis(1), Event::FromInstance(n, incarnation, conn, i, None));
         }
         let leaves = self.instances[i].leave_acked;
         if text.contains("QUERY c") && leaves.is_some_and(|at| self.now > at + DRAIN) {
@@ -999,14 +1030,14 @@
         }
         self.instances[i].follow(self.now, &self.log);
         let (answer, end) =
-            self.instances[i].take(self.now, line_key((n, life, conn)), text, &mut self.log, &mut self.judge);
+            self.instances[i].take(self.now, line_key((n, incarnation, conn)), text, &mut self.log, &mut self.judge);
         let lost = self.instances[i].lose && text.contains("QUERY c") && self.rng.u32(0..6) == 0;
         if !answer.is_empty() && !lost {
             let delay = WORK + self.delay();
-            self.after(delay, Event::FromInstance(n, life, conn, i, Some(answer)));
+            self.after(delay, Event::FromInstance(n, incarnation, conn, i, Some(answer)));
         }
         if end {
-            self.after(WORK * 2, Event::FromInstance(n, life, conn, i, None));
+            self.after(WORK * 2, Event::FromInstance(n, incarnation, conn, i, None));
         }
     }
 
@@ -1016,9 +1047,9 @@
         if !self.clients_on || self.clients[c].session.is_some() || !self.clients[c].script.is_empty() {
             return;
         }
-        let up: Vec<usize> = (self.queens..self.nodes.len())
+        let up: Vec<usize> = (self.controllers..self.nodes.len())
             .filter(|n| match &self.nodes[*n].kind {
-                Kind::Forager(Forager { field: Some(field), .. }) => field.ready(self.base + self.now),
+                NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) => pooler.ready(self.base + self.now),
                 _ => false,
             })
             .collect();
@@ -1026,44 +1057,46 @@
             return self.after(Duration::from_millis(200), Event::Client(c));
         }
         let mut n = up[self.rng.usize(0..up.len())];
-        let sid = self.next_session;
+        let session_id = self.next_session;
         self.next_session += 1;
         let key = self.keys[c % self.keys.len()].clone();
         let hello = format!("CONNECT {} {key}\r\n", ROUTES[self.clients[c].route]);
         let (homes, newest) = match &self.nodes[n].kind {
-            Kind::Forager(Forager { field: Some(field), .. }) => (field.homes(&hello), field.newest()),
+            NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) => {
+                (pooler.carriers_for(&hello), pooler.newest_revision())
+            }
             _ => (Vec::new(), 0),
         };
-        // The first carrier that can be reached, or the forager itself.
+        // The first carrier that can be reached, or the pooler itself.
         for ip in homes {
             let Some(home) = self.node_of(ip) else { continue };
             if !self.nodes[home].up || self.cuts.contains(&(n, home)) {
                 continue;
             }
-            if let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[home].kind
-                && field.accept_carried(sid)
+            if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[home].kind
+                && pooler.accept_forwarded_session(session_id)
             {
-                self.splices.insert(sid, (n, Splice::new(newest)));
+                self.forwarded_sessions.insert(session_id, (n, ForwardedSession::new(newest)));
                 self.carried += 1;
-                let told = carry::revision_line(newest);
-                self.after(Duration::from_millis(2), Event::FromClient(sid, Some(told)));
+                let told = forwarding::revision_line(newest);
+                self.after(Duration::from_millis(2), Event::FromClient(session_id, Some(told)));
                 n = home;
                 break;
             }
         }
-        self.sessions.insert(sid, (n, c));
-        if !self.splices.contains_key(&sid)
-            && let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[n].kind
+        self.sessions.insert(session_id, (n, c));
+        if !self.forwarded_sessions.contains_key(&session_id)
+            && let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[n].kind
         {
-            field.accept(sid);
+            pooler.accept_session(session_id);
         }
         let client = &mut self.clients[c];
-        client.forager = n;
-        client.session = Some(sid);
+        client.pooler = n;
+        client.session = Some(session_id);
         client.values.clear();
         client.asked = Some((String::new(), "CONNECT".into()));
         client.reply.clear();
-        self.client_sends(sid, Some(hello));
+        self.client_sends(session_id, Some(hello));
     }
 
     fn new_operation(&mut self, c: usize) {
@@ -1104,7 +1137,7 @@
 
     fn ask(&mut self, c: usize) {
         let client = &mut self.clients[c];
-        let Some(sid) = client.session else { return };
+        let Some(session_id) = client.session else { return };
         let Some((id, text)) = client.script.pop_front() else {
             // The operation has succeeded.
             self.judge.served += 1;
@@ -1113,7 +1146,7 @@
             }
             self.clients[c].asked = None;
             let pause = Duration::from_millis(self.rng.u64(20..120));
-            return self.after(pause, Event::ToClient(c, sid, Some(String::new())));
+            return self.after(pause, Event::ToClient(c, session_id, Some(String::new())));
         };
         let shape = text.starts_with("RUN").then(|| "WRITE shape".to_owned());
         if text.starts_with("READ") || text.starts_with("WRITE") || text.starts_with("RUN") {
@@ -1128,40 +1161,43 @@
         if text.starts_with("WRITE") || text.starts_with("RUN") {
             client.write_ids.push(id.clone());
         }
-        self.client_sends(sid, Some(format!("QUERY {id} {text}\r\n")));
+        self.client_sends(session_id, Some(format!("QUERY {id} {text}\r\n")));
     }
 
-    /// What a client sends, by way of the forager that it came to.
-    fn client_sends(&mut self, sid: u64, text: Option<String>) {
+    /// What a client sends, by way of the pooler that it came to.
+    fn client_sends(&mut self, session_id: u64, text: Option<String>) {
         let now = self.at();
-        let text = match (text, self.splices.get_mut(&sid)) {
-            (Some(text), Some((_, splice))) if splice.is_severed() => {
-                let last = splice.refuse(now, text.as_bytes());
-                let ends = splice.may_close(now, Phase::Serves, true);
-                if let Some((_, c)) = self.sessions.get(&sid).copied()
+        let text = match (text, self.forwarded_sessions.get_mut(&session_id)) {
+            (Some(text), Some((_, session))) if session.is_severed() => {
+                let last = session.refuse(now, text.as_bytes());
+                let ends = session.may_close(now, DrainPhase::Serving, true);
+                if let Some((_, c)) = self.sessions.get(&session_id).copied()
                     && !last.is_empty()
                 {
-                    self.after(self.lag * 2, Event::ToClient(c, sid, Some(last)));
+                    self.after(self.lag * 2, Event::ToClient(c, session_id, Some(last)));
                     if ends {
-                        self.after(self.lag * 2, Event::ToClient(c, sid, None));
+                        self.after(self.lag * 2, Event::ToClient(c, session_id, None));
                     }
                 }
                 return;
             }
-            (Some(text), Some((door, splice))) => {
-                let Kind::Forager(Forager { field: Some(field), .. }) = &self.nodes[*door].kind else { return };
-                Some(String::from_utf8_lossy(&splice.client_said(now, text.as_bytes(), field.newest())).into_owned())
+            (Some(text), Some((door, session))) => {
+                let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &self.nodes[*door].kind else { return };
+                Some(
+                    String::from_utf8_lossy(&session.client_said(now, text.as_bytes(), pooler.newest_revision()))
+                        .into_owned(),
+                )
             }
             (text, _) => text,
         };
-        self.after(self.lag, Event::FromClient(sid, text));
+        self.after(self.lag, Event::FromClient(session_id, text));
     }
 
-    fn client_hears(&mut self, c: usize, sid: u64, text: Option<String>) {
-        if self.clients[c].session != Some(sid) {
+    fn client_hears(&mut self, c: usize, session_id: u64, text: Option<String>) {
+        if self.clients[c].session != Some(session_id) {
             return;
         }
-        let Some(text) = text else { return self.client_cut(c, sid) };
+        let Some(text) = text else { return self.client_cut(c, session_id) };
         if text.is_empty() && self.clients[c].asked.is_none() {
             if self.clients_on {
                 self.new_operation(c);
@@ -1183,7 +1219,7 @@
         }
         if let Some(error) = reply.split("ERROR ").nth(1) {
             let code = word_of(error);
-            return self.client_fails(c, sid, &code);
+            return self.client_fails(c, session_id, &code);
         }
         if let Some(rest) = asked.strip_prefix("SET ")
             && let Some((name, value)) = rest.split_once(' ')
@@ -1204,7 +1240,7 @@
                 // One that was cut back meanwhile is not owed to readers.
                 let cut = self.judge.commits.iter().any(|k| k.term == t && k.number == n && k.cut_back);
                 if !cut {
-                    self.judge.acks.push((self.now, format!("s{sid}"), t, n));
+                    self.judge.acks.push((self.now, format!("s{session_id}"), t, n));
                 }
             }
         }
@@ -1230,9 +1266,9 @@
         }
     }
 
-    fn client_cut(&mut self, c: usize, sid: u64) {
+    fn client_cut(&mut self, c: usize, session_id: u64) {
         let asked = self.clients[c].asked.take();
-        self.sessions.remove(&sid);
+        self.sessions.remove(&session_id);
         self.clients[c].session = None;
         if asked.is_some_and(|(id, _)| !id.is_empty()) {
             let calm = self.troubled.is_none_or(|at| self.now - at > CONTACT);
@@ -1254,17 +1290,18 @@
         }
     }
 
-    fn client_fails(&mut self, c: usize, sid: u64, code: &str) {
-        let promise = brood::request::verdict::is_promise(code);
+    fn client_fails(&mut self, c: usize, session_id: u64, code: &str) {
+        let promise = lichenfield_engine::request::error::is_promise(code);
         let end = if promise || !self.clients[c].commit_sent { End::Promised } else { End::Unclear };
         self.note_end(c, end);
         self.clients[c].script.clear();
         let again = end == End::Promised && self.clients[c].tries < 3;
         // A fresh session: the failed try may have left a transaction behind.
-        self.after(Duration::from_millis(1), Event::FromClient(sid, None));
-        self.sessions.remove(&sid);
-        if let Kind::Forager(Forager { field: Some(field), .. }) = &mut self.nodes[self.clients[c].forager].kind {
-            field.client_gone(self.base + self.now, sid);
+        self.after(Duration::from_millis(1), Event::FromClient(session_id, None));
+        self.sessions.remove(&session_id);
+        if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[self.clients[c].pooler].kind
+        {
+            pooler.handle_client_closed(self.base + self.now, session_id);
         }
         self.clients[c].session = None;
         let pause = Duration::from_millis(if again { 30 } else { 100 });
@@ -1304,24 +1341,24 @@
         .into_bytes()
     }
 
-    fn any_queen(&mut self) -> Option<usize> {
-        let up: Vec<usize> = (0..self.queens).filter(|q| self.nodes[*q].up && !self.nodes[*q].frozen).collect();
+    fn any_controller(&mut self) -> Option<usize> {
+        let up: Vec<usize> = (0..self.controllers).filter(|q| self.nodes[*q].up && !self.nodes[*q].frozen).collect();
         (!up.is_empty()).then(|| up[self.rng.usize(0..up.len())])
     }
 
     fn target(&self, who: &str) -> Vec<usize> {
         match who {
             "leader" => self.leader().into_iter().collect(),
-            "follower" => (0..self.queens).find(|q| Some(*q) != self.leader()).into_iter().collect(),
-            "followers" => (0..self.queens).filter(|q| Some(*q) != self.leader()).collect(),
-            "queens" => (0..self.queens).collect(),
-            "foragers" => (self.queens..self.nodes.len()).collect(),
-            _ => match who.strip_prefix("queen").map(str::parse::<usize>) {
+            "follower" => (0..self.controllers).find(|q| Some(*q) != self.leader()).into_iter().collect(),
+            "followers" => (0..self.controllers).filter(|q| Some(*q) != self.leader()).collect(),
+            "controllers" => (0..self.controllers).collect(),
+            "poolers" => (self.controllers..self.nodes.len()).collect(),
+            _ => match who.strip_prefix("controller").map(str::parse::<usize>) {
                 Some(Ok(n)) => vec![n],
                 _ => who
-                    .strip_prefix("forager")
+                    .strip_prefix("pooler")
                     .and_then(|n| n.parse::<usize>().ok())
-                    .map(|n| self.queens + n)
+                    .map(|n| self.controllers + n)
                     .into_iter()
                     .collect(),
             },
@@ -1344,7 +1381,7 @@
                 for n in 0..self.idle.len() {
                     let body = self.idle[n].beat().into_bytes();
                     let path = format!("/api/instances/{}", self.idle[n].id);
-                    if let Some(q) = self.any_queen() {
+                    if let Some(q) = self.any_controller() {
                         self.http(q, 0, "PUT", &path, None, body);
                     }
                 }
@@ -1362,7 +1399,7 @@
                     return;
                 }
                 self.plan(self.now + Duration::from_secs(1), &format!("resend {revision}"));
-                if let Some(q) = self.any_queen() {
+                if let Some(q) = self.any_controller() {
                     let body = self.document(revision);
                     self.http(q, revision, "PUT", "/api/config", Some(revision - 2), body);
                 }
@@ -1375,7 +1412,7 @@
             "badconfig" => {
                 for body in [&b"{"[..], br#"{"revision":1,"routes":[],"backends":[]}"#] {
                     let current = self.revision;
-                    if let Some(q) = self.any_queen() {
+                    if let Some(q) = self.any_controller() {
                         self.http(q, 999_999, "PUT", "/api/config", Some(current), body.to_vec());
                     }
                 }
@@ -1391,7 +1428,7 @@
             // One that has nothing to drain says only that it ends, once, at one daemon.
             "quit" => {
                 let replica = self.instances.iter().position(|i| !i.primary && i.up && !i.draining && !i.gone);
-                if let (Some(i), Some(q)) = (replica, self.any_queen()) {
+                if let (Some(i), Some(q)) = (replica, self.any_controller()) {
                     self.add_instance(false);
                     let path = format!("/api/instances/{}", self.instances[i].id);
                     self.instances[i].quiet = true;
@@ -1422,8 +1459,8 @@
             "start" => (0..self.nodes.len()).for_each(|n| self.start(n, false)),
             "cut" => {
                 let oneway = words.get(2) == Some(&"oneway");
-                // From the other queens only: foragers, instances and operators reach it on.
-                let reach = if words.get(2) == Some(&"core") { self.queens } else { self.nodes.len() };
+                // From the other controllers only: poolers, instances and operators reach it on.
+                let reach = if words.get(2) == Some(&"core") { self.controllers } else { self.nodes.len() };
                 for n in self.target(who) {
                     for other in (0..reach).filter(|o| *o != n) {
                         self.cuts.insert((n, other));
@@ -1447,11 +1484,11 @@
             "leave" | "restart" => {
                 let (now, at, again) = (self.at(), self.now, words[0] == "restart");
                 for n in self.target(who) {
-                    let Kind::Forager(f) = &mut self.nodes[n].kind else { continue };
-                    let Some(field) = &mut f.field else { continue };
+                    let NodeKind::Pooler(f) = &mut self.nodes[n].kind else { continue };
+                    let Some(pooler) = &mut f.pooler else { continue };
                     if f.left.is_none() {
                         f.left = Some((at, again));
-                        field.leave(now);
+                        pooler.begin_draining(now);
                         self.drain(n);
                         self.leaving_turn(n);
                     }
@@ -1462,15 +1499,15 @@
                 let gap =
                     words.get(2).and_then(|g| g.parse().ok()).map_or(Duration::from_secs(1), Duration::from_secs_f64);
                 for (at, n) in self.target(who).into_iter().enumerate() {
-                    self.plan(self.now + gap * at as u32, &format!("restart forager{}", n - self.queens));
+                    self.plan(self.now + gap * at as u32, &format!("restart pooler{}", n - self.controllers));
                 }
             }
             "severed" => {
-                let sid: u64 = who.parse().unwrap_or(0);
+                let session_id: u64 = who.parse().unwrap_or(0);
                 let now = self.at();
-                if let Some((_, splice)) = self.splices.get(&sid) {
-                    if splice.may_close(now, Phase::Serves, false) {
-                        self.part(sid);
+                if let Some((_, session)) = self.forwarded_sessions.get(&session_id) {
+                    if session.may_close(now, DrainPhase::Serving, false) {
+                        self.part(session_id);
                     } else {
                         self.plan(self.now + Duration::from_millis(200), action);
                     }
@@ -1532,8 +1569,8 @@
         self.instances[i].up = false;
         self.instances[i].lines.clear();
         let conns: Vec<(usize, u32, u64)> = self.conns.iter().filter(|(_, at)| **at == i).map(|(k, _)| *k).collect();
-        for (n, life, conn) in conns {
-            self.after(Duration::from_millis(1), Event::FromInstance(n, life, conn, i, None));
+        for (n, incarnation, conn) in conns {
+            self.after(Duration::from_millis(1), Event::FromInstance(n, incarnation, conn, i, None));
         }
     }
 
@@ -1568,8 +1605,10 @@
                 continue;
             }
             let revision = match &self.nodes[n].kind {
-                Kind::Queen(Queen { royal: Some(royal), .. }) => royal.ledger().revision(),
-                Kind::Forager(Forager { field: Some(field), .. }) => field.revision(),
+                NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) => {
+                    controller.control_state().revision()
+                }
+                NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) => pooler.revision(),
                 _ => continue,
             };
             if revision < self.acked_revision {
@@ -1581,21 +1620,21 @@
         }
     }
 
-    fn leading(&self) -> Option<&Royal> {
+    fn leading(&self) -> Option<&Controller> {
         match &self.nodes[self.leader()?].kind {
-            Kind::Queen(Queen { royal: Some(royal), .. }) => Some(royal),
+            NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) => Some(controller),
             _ => None,
         }
     }
 
-    /// The service's epoch, by the leader's ledger.
+    /// The service's epoch, by the leader's control_state.
     pub fn epoch(&self) -> u64 {
-        self.leading().and_then(|r| r.ledger().epochs.get(SERVICE)).map_or(0, |e| e.epoch)
+        self.leading().and_then(|r| r.control_state().epochs.get(SERVICE)).map_or(0, |e| e.epoch)
     }
 
     pub fn voters(&self) -> Vec<usize> {
-        let Some(royal) = self.leading() else { return Vec::new() };
-        royal.raft().voters().iter().filter_map(|v| self.node_of(v.ip)).collect()
+        let Some(controller) = self.leading() else { return Vec::new() };
+        controller.raft().voters().iter().filter_map(|v| self.node_of(v.ip)).collect()
     }
 }
 
@@ -1603,8 +1642,8 @@
     Ipv4Addr::new(10, 0, (n / 250) as u8, (n % 250) as u8 + 1)
 }
 
-fn line_key((n, life, conn): (usize, u32, u64)) -> u64 {
-    ((n as u64) << 48) | (u64::from(life) << 32) | conn
+fn line_key((n, incarnation, conn): (usize, u32, u64)) -> u64 {
+    ((n as u64) << 48) | (u64::from(incarnation) << 32) | conn
 }
 
 fn word_of(text: &str) -> String {
--- a/apiary/tests/scenarios.rs
+++ b/simulator/tests/scenarios.rs
@@ -14,7 +14,10 @@
         .map(|path| {
             std::thread::spawn(move || {
                 let text = std::fs::read_to_string(&path).expect("a text file");
-                (path.file_stem().map(|s| s.to_string_lossy().into_owned()), apiary::scenario::run(&text))
+                (
+                    path.file_stem().map(|s| s.to_string_lossy().into_owned()),
+                    lichenfield_simulator::scenario::run(&text),
+                )
             })
         })
         .collect();
