--- /dev/null
+++ b/brood/tests/golden/computed.rs
@@ -0,0 +1,87 @@
+//! What each daemon computes for itself and expects to be equal at the others: digests, and who carries a service's
+//! sessions. Also configurations as they are compressed against an older version.
+
+use crate::{Sample, sample};
+use brood::process::carry::{Part, Parts, Roster};
+use brood::process::repair::{Copies, Fact, Value, digest, total};
+use std::net::Ipv4Addr;
+
+const BASE: &[u8] = b"{\"revision\":1,\"routes\":[],\"backends\":[],\"customers\":[]}";
+const NEXT: &[u8] = b"{\"revision\":2,\"routes\":[],\"backends\":[],\"customers\":[{}]}";
+
+fn config(version: u64, value: Value) -> Fact {
+    Fact { key: "c/".into(), version, value }
+}
+
+fn with_base() -> Copies {
+    let mut copies = Copies::default();
+    copies.take(&config(1, Value::Config(BASE.to_vec())));
+    copies
+}
+
+/// The bytes by which a configuration is passed on to those that hold the base, or (`whole`) to others.
+fn compress(mut copies: Copies, text: &[u8]) -> Vec<u8> {
+    match copies.take(&config(2, Value::Config(text.to_vec()))) {
+        Some((_, Fact { value: Value::Packed { bytes, .. }, .. })) => bytes,
+        other => panic!("not compressed: {other:?}"),
+    }
+}
+
+fn decompress(mut copies: Copies, base: Option<u64>, bytes: &[u8]) -> Option<Vec<u8>> {
+    match copies.take(&config(2, Value::Packed { base, bytes: bytes.to_vec() }))?.0.value {
+        Value::Config(text) => Some(text),
+        _ => None,
+    }
+}
+
+pub fn samples() -> [Sample; 2] {
+    let whole = sample(
+        "config.whole".into(),
+        NEXT.to_vec(),
+        |text| compress(Copies::default(), text),
+        |bytes| decompress(Copies::default(), None, bytes),
+    );
+    let step = sample(
+        "config.step".into(),
+        NEXT.to_vec(),
+        |text| compress(with_base(), text),
+        |bytes| decompress(with_base(), Some(1), bytes),
+    );
+    [whole, step].map(|sample| Sample { compressed: true, ..sample })
+}
+
+#[test]
+fn digests_are_as_before() {
+    let mut copies = Copies::default();
+    for (key, version) in ["c/", "q/", "e/database", "s/frankfurt", "i/1000", "i/replica", "d/x"].into_iter().zip(600..)
+    {
+        copies.take(&Fact { key: key.into(), version, value: Value::Drain { id: key.into() } });
+    }
+    assert_eq!(digest(b"lichenfield"), 1_038_474_292_884_277_550);
+    let digests = [
+        17_249_858_888_352_149_158,
+        0,
+        0,
+        25_980_223_083_200_651,
+        8_650_742_440_380_566_148,
+        0,
+        5_556_880_655_265_869_045,
+        16_441_883_052_170_465_949,
+    ];
+    assert_eq!(copies.digests(), digests);
+    assert_eq!(copies.sum(), 13_416_203_970_024_161_014);
+    assert_eq!(copies.sum(), total(&copies.digests()));
+}
+
+#[test]
+fn carriers_are_as_before() {
+    let part = |n| (format!("daemon-{n}"), Part { ip: Ipv4Addr::new(10, 0, 0, n), zone: format!("zone-{}", n % 3) });
+    let parts: Parts = (1..=20).map(part).collect();
+    let roster = Roster::new("daemon-0", &parts, [("service-a", 60), ("service-b", 80), ("service-c", 1000)]);
+    let homes = |service, tenant| roster.homes(service, tenant).iter().map(|ip| ip.octets()[3]).collect::<Vec<u8>>();
+    let shares = ["service-a", "service-b", "service-c"].map(|s| roster.holding(s).map(|h| h.share));
+    assert_eq!(shares, [Some(1), Some(1), Some(33)]);
+    let carried = [("service-a", "tenant-a"), ("service-a", "tenant-c"), ("service-b", "tenant-a")];
+    assert_eq!(carried.map(|(service, tenant)| homes(service, tenant)), [[14, 7, 3], [3, 14, 7], [13, 20, 12]]);
+    assert!(homes("service-c", "tenant-a").is_empty(), "each daemon has connections of its own");
+}
--- /dev/null
+++ b/brood/tests/golden/ledger.rs
@@ -0,0 +1,178 @@
+//! Samples of the log's commands, their outcomes, the ledger that they lead to, and a snapshot of it.
+
+use crate::{Sample, assert_all_sampled, bincode_sample, to_bincode, variants};
+use brood::process::carry::Part;
+use brood::process::raft::Snapshot;
+use brood::version::electorate::{Electorate, Voter};
+use brood::version::ledger::{Command, Ledger, Mark, Outcome};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+variants!(COMMANDS, command_name, Command, {
+    "noop" => Command::Noop,
+    "configure" => Command::Configure { .. },
+    "close" => Command::Close { .. },
+    "name" => Command::Name { .. },
+    "crown" => Command::Crown { .. },
+    "drain" => Command::Drain { .. },
+    "shares" => Command::Shares { .. },
+    "usage" => Command::Usage { .. },
+    "voters" => Command::Voters { .. },
+});
+
+variants!(OUTCOMES, outcome_name, Outcome, {
+    "done" => Outcome::Done,
+    "conflict" => Outcome::Conflict { .. },
+    "invalid" => Outcome::Invalid { .. },
+    "unknown" => Outcome::Unknown,
+});
+
+pub fn mark(n: u64) -> Mark {
+    Mark { proposer: n, serial: n + 1 }
+}
+
+pub fn voter(n: u8) -> Voter {
+    Voter { id: u64::MAX - u64::from(n), ip: Ipv4Addr::new(10, 40, 50, n) }
+}
+
+/// A configuration with a route, a backend and a customer, which share no name.
+fn document(revision: u64) -> Vec<u8> {
+    let route = r#"{"name":"r","hostname":"h","type":"primary","deadline-ms":900,"service":"b"}"#;
+    let customer = format!(r#"{{"name":"c{revision}","api-keys":["k"]}}"#);
+    format!(r#"{{"revision":{revision},"routes":[{route}],"backends":[{{"name":"b"}}],"customers":[{customer}]}}"#)
+        .into_bytes()
+}
+
+fn configure(if_match: u64, revision: u64) -> Command {
+    let at = Duration::new(1_800_000_000 + revision, 5_000_001);
+    Command::Configure { if_match, raw: document(revision), by: "daemon".into(), at }
+}
+
+fn close(epoch: u64) -> Command {
+    Command::Close { service: "service".into(), epoch }
+}
+
+fn crown(epoch: u64, term: u64) -> Command {
+    Command::Crown { service: "service".into(), epoch, primary: format!("primary-{term}"), term }
+}
+
+fn name(epoch: u64) -> Command {
+    Command::Name { service: "service".into(), epoch, target: "target".into(), holder: "holder".into() }
+}
+
+fn drain(id: &str) -> Command {
+    Command::Drain { id: id.into() }
+}
+
+fn shares() -> Command {
+    let part = |n| (format!("daemon-{n}"), Part { ip: Ipv4Addr::new(10, 60, 70, n), zone: format!("zone-{n}") });
+    Command::Shares { parts: [part(1), part(2)].into() }
+}
+
+fn usage(window: u64) -> Command {
+    let counts = BTreeMap::from([("tenant-a".to_owned(), 600), ("tenant-b".to_owned(), 70_000)]);
+    Command::Usage { window, counts, holder: "usage-holder".into() }
+}
+
+fn voters() -> Command {
+    Command::Voters {
+        electorate: Electorate { voters: vec![voter(1), voter(2)], outgoing: vec![voter(3), voter(4), voter(5)] },
+    }
+}
+
+pub fn commands() -> Vec<Command> {
+    vec![
+        Command::Noop,
+        configure(3, 4),
+        close(5),
+        name(6),
+        crown(7, 8),
+        drain("instance"),
+        shares(),
+        usage(360_000_000),
+        voters(),
+    ]
+}
+
+pub fn outcomes() -> Vec<Outcome> {
+    vec![
+        Outcome::Done,
+        Outcome::Conflict { current: 300 },
+        Outcome::Invalid { why: "no such field".into() },
+        Outcome::Unknown,
+    ]
+}
+
+/// What some of each command lead to, with a conflict and an invalid change among the results.
+fn ledger() -> Ledger {
+    let mut ledger = Ledger::default();
+    let applied = [
+        Command::Noop,
+        configure(0, 400),
+        configure(400, 401),
+        configure(7, 402),
+        configure(401, 3),
+        crown(1, 50),
+        close(1),
+        name(1),
+        crown(2, 60),
+        close(2),
+        name(2),
+        drain("instance-1"),
+        drain("instance-2"),
+        shares(),
+        usage(80),
+        usage(81),
+        voters(),
+    ];
+    for (command, index) in applied.iter().zip(1..) {
+        // Two proposers, and the leader's own.
+        let mark = if index % 3 == 0 { Mark::default() } else { Mark { proposer: 1000 + index % 2, serial: index } };
+        ledger.apply(index, mark, command);
+    }
+    ledger
+}
+
+/// As after so many changes that the first of them are not known any more; that field is private.
+fn ledger_that_forgot() -> Ledger {
+    let mut fields = serde_json::to_value(ledger()).expect("fields");
+    fields["forgotten"] = 77.into();
+    serde_json::from_value(fields).expect("a ledger")
+}
+
+fn snapshot() -> Snapshot {
+    let electorate = Electorate { voters: vec![voter(1), voter(2)], outgoing: vec![voter(3)] };
+    Snapshot { index: 17, term: 9, electorate, state: to_bincode(&ledger()) }
+}
+
+pub fn samples() -> Vec<Sample> {
+    let command = |c| bincode_sample(format!("command.{}", command_name(&c)), c);
+    let outcome = |o| bincode_sample(format!("outcome.{}", outcome_name(&o)), o);
+    let mut all: Vec<Sample> = commands().into_iter().map(command).collect();
+    all.extend(outcomes().into_iter().map(outcome));
+    all.push(bincode_sample("ledger.state", ledger()));
+    all.push(bincode_sample("ledger.state-forgotten", ledger_that_forgot()));
+    all.push(bincode_sample("snapshot", snapshot()));
+    all
+}
+
+#[test]
+fn each_variant_has_a_sample() {
+    assert_all_sampled(COMMANDS, commands().iter().map(command_name));
+    assert_all_sampled(OUTCOMES, outcomes().iter().map(outcome_name));
+}
+
+#[test]
+fn the_ledger_of_the_samples_holds_something_of_everything() {
+    let ledger = ledger();
+    assert_eq!((ledger.index, ledger.revision(), ledger.history.len()), (17, 401, 2));
+    let service = &ledger.epochs["service"];
+    assert_eq!((service.epoch, service.term, service.closed), (2, 60, true));
+    assert_eq!((service.named.as_deref(), service.holder.as_deref()), (Some("target"), Some("holder")));
+    assert_eq!((ledger.drains.len(), ledger.parts.len(), ledger.reports.len()), (2, 2, 2));
+    assert_eq!((ledger.voters.len(), ledger.usage_holder.as_deref()), (5, Some("usage-holder")));
+    let result = |index: u64| ledger.result(Mark { proposer: 1000 + index % 2, serial: index });
+    assert_eq!(result(4), Some(&Outcome::Conflict { current: 401 }));
+    assert!(matches!(result(5), Some(Outcome::Invalid { .. })));
+}
