--- a/queen/src/store.rs
+++ b/queen/src/store.rs
@@ -302,5 +302,7 @@
     }
 }
 
+#[cfg(test)]
+mod golden;
 #[cfg(test)]
 mod tests;
