--- a/controller/src/store/golden.rs
+++ b/controller/src/store/golden.rs
@@ -4,7 +4,7 @@
 //! that led to it, so that the format is pinned in both directions.
 
 use super::*;
-use lichenfield_engine::process::consensus::{Entry, Snapshot};
+use lichenfield_engine::process::consensus::{Entry, HardState, IndexedEntry, Snapshot};
 use lichenfield_engine::version::control_state::{Command, ProposalId};
 use lichenfield_engine::version::electorate::{Electorate, Voter};
 
@@ -42,11 +42,11 @@
     Voter { id: ID + u64::from(n), ip: std::net::Ipv4Addr::new(10, 1, 2, n) }
 }
 
-fn entry(index: u64) -> (u64, Entry) {
+fn entry(index: u64) -> IndexedEntry {
     let mark = ProposalId { proposer: 400 + index, serial: 500 + index };
     let command =
         Command::InstallPrimary { service: "service".into(), epoch: index, primary: "primary".into(), term: 600 };
-    (index, Entry { term: 20 + index, proposal_id: mark, command })
+    IndexedEntry { index, entry: Entry { term: 20 + index, proposal_id: mark, command } }
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>) -> Write {
@@ -60,14 +60,14 @@
 
 /// The first write goes into the whole state: a snapshot at 4, and entries from 3 on.
 fn first_write() -> Write {
-    Write { hard_state: Some((30, Some(ID + 2))), ..entries(1..=6) }
+    Write { hard_state: Some(HardState { term: 30, vote: Some(ID + 2) }), ..entries(1..=6) }
 }
 
 /// Writes behind it, of each kind: entries, a vote, a cut, a newer snapshot, entries again.
 fn later_writes() -> [Write; 5] {
     [
         entries(7..=9),
-        Write { hard_state: Some((31, None)), ..Write::default() },
+        Write { hard_state: Some(HardState { term: 31, vote: None }), ..Write::default() },
         Write { truncate: Some(9), ..entries(9..=10) },
         Write { snapshot: Some(snapshot(8)), trim: Some(5), ..Write::default() },
         entries(11..=11),
@@ -98,7 +98,7 @@
 
 /// What is read back from it.
 fn expected(name: &str) -> PersistentState {
-    let log = |range: std::ops::RangeInclusive<u64>| range.map(|index| entry(index).1).collect();
+    let log = |range: std::ops::RangeInclusive<u64>| range.map(|index| entry(index).entry).collect();
     let full = PersistentState {
         id: ID,
         term: 31,
@@ -140,7 +140,10 @@
         assert_eq!(store.dirty, name == "torn", "{name}: something is cut before the next write");
 
         let next = state.last_index() + 1;
-        let writes = [entries(next..=next + 1), Write { hard_state: Some((99, Some(ID + 9))), ..Write::default() }];
+        let writes = [
+            entries(next..=next + 1),
+            Write { hard_state: Some(HardState { term: 99, vote: Some(ID + 9) }), ..Write::default() },
+        ];
         store.write(&writes).expect("written on");
         drop(store);
         assert!(writes.into_iter().all(|write| state.apply(write)), "{name}: the writes fit");
--- a/controller/src/store/tests.rs
+++ b/controller/src/store/tests.rs
@@ -1,7 +1,7 @@
 //! The store over a disk with a power switch, and over a real folder.
 
 use super::*;
-use lichenfield_engine::process::consensus::{Entry, Snapshot};
+use lichenfield_engine::process::consensus::{Entry, HardState, IndexedEntry, Snapshot};
 use lichenfield_engine::version::control_state::{Command, ProposalId};
 use lichenfield_engine::version::electorate::{Electorate, Voter};
 
@@ -70,19 +70,15 @@
 fn some_write(rng: &mut fastrand::Rng, state: &PersistentState) -> Write {
     let last = state.last_index();
     let entry = |i: u64| {
-        (
-            i,
-            Entry {
-                term: i,
-                proposal_id: ProposalId::default(),
-                command: Command::DrainInstance { id: format!("i{i}") },
-            },
-        )
+        let command = Command::DrainInstance { id: format!("i{i}") };
+        IndexedEntry { index: i, entry: Entry { term: i, proposal_id: ProposalId::default(), command } }
     };
     match rng.u8(0..8) {
-        0 => Write { hard_state: Some((state.term + 1, Some(rng.u64(..)))), ..Write::default() },
+        0 => {
+            Write { hard_state: Some(HardState { term: state.term + 1, vote: Some(rng.u64(..)) }), ..Write::default() }
+        }
         1 | 2 if last > state.snapshot.index => {
-            let electorate = Electorate::of(vec![Voter { id: 7, ip: std::net::Ipv4Addr::LOCALHOST }]);
+            let electorate = Electorate::new(vec![Voter { id: 7, ip: std::net::Ipv4Addr::LOCALHOST }]);
             let snapshot = Snapshot { index: state.snapshot.index + 1, term: 1, electorate, state: vec![3; 300] };
             // The log may keep any part of what the snapshot covers.
             let trim = rng.bool().then(|| rng.u64(state.base_index..=snapshot.index));
@@ -136,7 +132,7 @@
 #[test]
 fn damage_is_refused_and_a_torn_end_is_not() {
     let record = |term| {
-        let write = Write { hard_state: Some((term, None)), ..Write::default() };
+        let write = Write { hard_state: Some(HardState { term, vote: None }), ..Write::default() };
         framed(&Record::Writes(vec![write])).expect("framed")
     };
     let mut bytes =
@@ -163,8 +159,12 @@
     std::fs::create_dir_all(&path).expect("a folder");
     std::fs::write(path.join(FRESH), b"half a founding").expect("laid");
     let mut store = Store::try_open(&path, DISK, 3).expect("founded");
-    store.write(&[Write { hard_state: Some((4, Some(3))), ..Write::default() }]).expect("written");
-    store.write_whole(&[Write { hard_state: Some((5, None)), ..Write::default() }]).expect("written anew");
+    store
+        .write(&[Write { hard_state: Some(HardState { term: 4, vote: Some(3) }), ..Write::default() }])
+        .expect("written");
+    store
+        .write_whole(&[Write { hard_state: Some(HardState { term: 5, vote: None }), ..Write::default() }])
+        .expect("written anew");
     drop(store);
     let store = Store::try_open(&path, DISK, 9).expect("opened");
     assert_eq!((store.state.id, store.state.term), (3, 5));
@@ -184,7 +184,8 @@
     let mut most = 0;
     for index in 1..=600u64 {
         let command = Command::Configure { if_match: index - 1, raw: raw(index), by: "q".into(), at: RETRY };
-        let entries = vec![(index, Entry { term: 1, proposal_id: ProposalId::default(), command })];
+        let entry = Entry { term: 1, proposal_id: ProposalId::default(), command };
+        let entries = vec![IndexedEntry { index, entry }];
         store.write(&[Write { entries, ..Write::default() }]).expect("written");
         if index % 8 == 0 {
             // The state, and as much of the log behind it as a live follower may want.
--- a/engine/src/process/consensus/log.rs
+++ b/engine/src/process/consensus/log.rs
@@ -1,23 +1,34 @@
-//! The log in memory: a snapshot, and entries from somewhat before it on.
+//! The log in memory: a snapshot, and the entries from somewhat before its index on.
 
 use super::{Entry, PersistentState, Snapshot};
 use crate::version::control_state::Command;
 use crate::version::electorate::{Electorate, VoterId};
 use std::collections::VecDeque;
 
-/// Bytes of entries kept behind the snapshot, so that whoever is a little behind needs no snapshot; and while
-/// a live follower still wants them.
-const TAIL_BYTES: usize = 1 << 20;
-const TAIL_BYTES_WANTED: usize = 16 << 20;
+/// Bytes of entries kept behind the snapshot, so that a follower that lags a little needs no snapshot.
+const RETAINED_BYTES: usize = 1 << 20;
+/// Bytes of entries kept behind the snapshot while a live follower still lacks them.
+const RETAINED_BYTES_FOR_FOLLOWER: usize = 16 << 20;
+
+/// The index and term of an entry. Positions compare by term first, as in the check of how up to date a
+/// candidate's log is (Raft §5.4.1).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct LogPosition {
+    pub term: u64,
+    pub index: u64,
+}
 
+/// The log of one daemon.
+///
+/// Invariant: `base.index <= snapshot.index <= last_index()`, so every index after the snapshot has its entry.
 pub(super) struct Log {
-    pub snapshot: Snapshot,
-    /// The entry before the first one here; never beyond the snapshot.
-    base_index: u64,
-    base_term: u64,
+    snapshot: Snapshot,
+    /// The entry before the first one in `entries`.
+    base: LogPosition,
     entries: VecDeque<Entry>,
-    /// The newest electorate, committed or not, and where it stands; 0: in the snapshot.
+    /// The newest electorate in the log, committed or not (Raft §6).
     electorate: Electorate,
+    /// The index of its entry; 0 if it is the snapshot's.
     electorate_index: u64,
 }
 
@@ -25,52 +36,57 @@
     pub fn new(stored: PersistentState) -> Self {
         let mut log = Log {
             snapshot: stored.snapshot,
-            base_index: stored.base_index,
-            base_term: stored.base_term,
+            base: LogPosition { term: stored.base_term, index: stored.base_index },
             entries: stored.log.into(),
             electorate: Electorate::default(),
             electorate_index: 0,
         };
-        log.find_electorate();
+        log.refresh_electorate();
         log
     }
 
-    pub fn last_index(&self) -> u64 {
-        self.base_index + self.entries.len() as u64
+    pub fn snapshot(&self) -> &Snapshot {
+        &self.snapshot
     }
 
-    pub fn last_term(&self) -> u64 {
-        self.entries.back().map_or(self.base_term, |e| e.term)
+    /// The entry before the first one that is kept.
+    pub fn base(&self) -> LogPosition {
+        self.base
+    }
+
+    pub fn last_index(&self) -> u64 {
+        self.base.index + self.entries.len() as u64
     }
 
-    pub fn base(&self) -> (u64, u64) {
-        (self.base_index, self.base_term)
+    pub fn last_position(&self) -> LogPosition {
+        let term = self.entries.back().map_or(self.base.term, |entry| entry.term);
+        LogPosition { term, index: self.last_index() }
     }
 
-    /// Entries kept, also those behind the snapshot.
+    /// The number of entries kept, including those behind the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    fn at(&self, index: u64) -> Option<usize> {
-        index.checked_sub(self.base_index + 1).map(|at| at as usize)
+    fn offset(&self, index: u64) -> Option<usize> {
+        index.checked_sub(self.base.index + 1).map(|offset| offset as usize)
     }
 
     pub fn entry(&self, index: u64) -> Option<&Entry> {
-        self.entries.get(self.at(index)?)
+        self.entries.get(self.offset(index)?)
     }
 
     pub fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.base_index { Some(self.base_term) } else { self.entry(index).map(|e| e.term) }
+        if index == self.base.index { Some(self.base.term) } else { self.entry(index).map(|entry| entry.term) }
     }
 
-    /// Entries from this index on.
-    pub fn from(&self, index: u64) -> impl Iterator<Item = &Entry> {
-        self.entries.iter().skip(self.at(index).unwrap_or(0))
+    /// The entries from an index on.
+    pub fn entries_from(&self, index: u64) -> impl Iterator<Item = &Entry> {
+        self.entries.iter().skip(self.offset(index).unwrap_or(0))
     }
 
-    /// The entry before the first one of the term that this index is of; not before `floor`.
-    pub fn before_term_of(&self, index: u64, floor: u64) -> u64 {
+    /// The index before the first entry of the term that the entry at `index` is of, but not before `floor`.
+    pub fn index_before_term_of(&self, index: u64, floor: u64) -> u64 {
         let term = self.term_at(index);
         let mut before = index;
         while before > floor && self.term_at(before) == term {
@@ -79,6 +95,8 @@
         before.max(floor)
     }
 
+    // ---- electorate -------------------------------------------------------------------------
+
     pub fn electorate(&self) -> &Electorate {
         &self.electorate
     }
@@ -87,90 +105,102 @@
         self.electorate_index
     }
 
+    /// The electorate that the entry at `index` sets.
+    fn electorate_at(&self, index: u64) -> Option<&Electorate> {
+        entry_electorate(self.entry(index)?)
+    }
+
     /// Whether this voter was in the electorate before the newest one.
     pub fn was_voter(&self, id: VoterId) -> bool {
-        let before =
-            (self.snapshot.index + 1..self.electorate_index).rev().find_map(|at| match &self.entry(at)?.command {
-                Command::ChangeElectorate { electorate } => Some(electorate),
-                _ => None,
-            });
-        before.unwrap_or(&self.snapshot.electorate).has(id)
+        let earlier = self.snapshot.index + 1..self.electorate_index;
+        let previous = earlier.rev().find_map(|index| self.electorate_at(index));
+        previous.unwrap_or(&self.snapshot.electorate).contains(id)
     }
 
-    /// To be called whenever the log's end or the snapshot changed.
-    fn find_electorate(&mut self) {
-        let newer = self.last_index() - self.snapshot.index;
-        let found = self.entries.iter().enumerate().rev().take(newer as usize).find_map(|(at, e)| match &e.command {
-            Command::ChangeElectorate { electorate } => Some((self.base_index + 1 + at as u64, electorate.clone())),
-            _ => None,
-        });
-        (self.electorate_index, self.electorate) = found.unwrap_or((0, self.snapshot.electorate.clone()));
+    /// Finds the newest electorate; to be called whenever the snapshot or the end of the log has changed.
+    fn refresh_electorate(&mut self) {
+        let after_snapshot = self.snapshot.index + 1..=self.last_index();
+        let newest = after_snapshot.rev().find_map(|index| Some((index, self.electorate_at(index)?.clone())));
+        (self.electorate_index, self.electorate) = newest.unwrap_or((0, self.snapshot.electorate.clone()));
     }
 
+    /// Sets the first electorate, before anything is in the log.
+    pub fn bootstrap(&mut self, electorate: Electorate) {
+        self.snapshot.electorate = electorate;
+        self.refresh_electorate();
+    }
+
+    // ---- the end of the log -----------------------------------------------------------------
+
+    /// Appends an entry and returns its index. An electorate counts from the moment it is in the log
+    /// (Raft §6).
     pub fn push(&mut self, entry: Entry) -> u64 {
-        if let Command::ChangeElectorate { electorate } = &entry.command {
+        if let Some(electorate) = entry_electorate(&entry) {
             (self.electorate_index, self.electorate) = (self.last_index() + 1, electorate.clone());
         }
         self.entries.push_back(entry);
         self.last_index()
     }
 
-    /// Drops the entries from this index on.
+    /// Drops the entries from an index on.
     pub fn truncate(&mut self, from: u64) {
-        self.entries.truncate(self.at(from).unwrap_or(0));
-        self.find_electorate();
+        self.entries.truncate(self.offset(from).unwrap_or(0));
+        self.refresh_electorate();
     }
 
-    /// Puts the snapshot of a first electorate in place, before anything is in the log.
-    pub fn found(&mut self, electorate: Electorate) {
-        self.snapshot.electorate = electorate;
-        self.find_electorate();
-    }
+    // ---- snapshot ---------------------------------------------------------------------------
 
-    /// The state that the entries up to `index` led to.
+    /// Makes `state`, which the entries up to `index` led to, the snapshot. The entries stay.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
         let Some(term) = self.term_at(index) else { return };
-        let mut electorate = self.snapshot.electorate.clone();
-        for i in self.snapshot.index + 1..=index {
-            if let Some(Command::ChangeElectorate { electorate: newer }) = self.entry(i).map(|e| &e.command) {
-                electorate = newer.clone();
-            }
-        }
+        let covered = self.snapshot.index + 1..=index;
+        let newest = covered.rev().find_map(|index| self.electorate_at(index));
+        let electorate = newest.unwrap_or(&self.snapshot.electorate).clone();
         self.snapshot = Snapshot { index, term, electorate, state };
-        self.find_electorate();
-    }
-
-    /// Drops what lies further behind the snapshot than is worth keeping, so many entries at most; `wanted`: a live follower wants the
-    /// entries after this one. Gives the last entry dropped, if any was.
-    pub fn trim(&mut self, entries: u64, wanted: Option<u64>) -> Option<u64> {
-        let (mut to, mut bytes) = (self.snapshot.index, 0);
-        while to > self.base_index {
-            bytes += self.entry(to).map_or(0, Entry::size);
-            let worth = bytes <= TAIL_BYTES && self.snapshot.index - to < entries;
-            let needed = bytes <= TAIL_BYTES_WANTED && wanted.is_some_and(|w| w < to);
-            if !worth && !needed {
+        self.refresh_electorate();
+    }
+
+    /// Drops entries behind the snapshot, and returns the index of the last one dropped, if any. Kept are
+    /// at most `entries` of them within [`RETAINED_BYTES`], and those after `lacking_after`, which a live
+    /// follower lacks, within [`RETAINED_BYTES_FOR_FOLLOWER`].
+    pub fn trim(&mut self, entries: u64, lacking_after: Option<u64>) -> Option<u64> {
+        let (mut index, mut bytes) = (self.snapshot.index, 0);
+        while index > self.base.index {
+            bytes += self.entry(index).map_or(0, Entry::size);
+            let retained = bytes <= RETAINED_BYTES && self.snapshot.index - index < entries;
+            let lacking = bytes <= RETAINED_BYTES_FOR_FOLLOWER && lacking_after.is_some_and(|after| after < index);
+            if !retained && !lacking {
                 break;
             }
-            to -= 1;
+            index -= 1;
         }
-        let term = self.term_at(to)?;
-        if to == self.base_index {
+        let term = self.term_at(index)?;
+        if index == self.base.index {
             return None;
         }
-        self.entries.drain(..(to - self.base_index) as usize);
-        (self.base_index, self.base_term) = (to, term);
-        Some(to)
+        self.entries.drain(..(index - self.base.index) as usize);
+        self.base = LogPosition { term, index };
+        Some(index)
     }
 
-    /// A snapshot from elsewhere; false if nothing of the log fits it, and none stays.
-    pub fn install(&mut self, snapshot: Snapshot) -> bool {
-        let fits = self.term_at(snapshot.index) == Some(snapshot.term);
-        if !fits {
+    /// Takes a snapshot from another daemon. Returns whether the log matches it; otherwise all entries
+    /// are dropped (Raft §7).
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
+        let matches = self.term_at(snapshot.index) == Some(snapshot.term);
+        if !matches {
             self.entries.clear();
-            (self.base_index, self.base_term) = (snapshot.index, snapshot.term);
+            self.base = LogPosition { term: snapshot.term, index: snapshot.index };
         }
         self.snapshot = snapshot;
-        self.find_electorate();
-        fits
+        self.refresh_electorate();
+        matches
+    }
+}
+
+/// The electorate that an entry sets.
+fn entry_electorate(entry: &Entry) -> Option<&Electorate> {
+    match &entry.command {
+        Command::ChangeElectorate { electorate } => Some(electorate),
+        _ => None,
     }
 }
--- a/engine/src/process/consensus/mod.rs
+++ b/engine/src/process/consensus/mod.rs
@@ -1,449 +1,233 @@
-//! Raft, after "Raft Refloated" (§2–4); `docs/raft.md` tells what was kept and what was changed.
+//! Consensus: the Raft algorithm as a state machine without I/O.
 //!
-//! The caller performs the outputs in order, with one rule that carries the safety: a message names
-//! the [`Effect::Write`] that it rests on, and is let out only once that write is durable.
-
+//! "Raft" in the comments stands for Ongaro and Ousterhout, "In Search of an Understandable Consensus
+//! Algorithm"; "Raft dissertation" for Ongaro, "Consensus: Bridging Theory and Practice"; "Raft Refloated" for
+//! Howard et al., "Raft Refloated: Do We Have Consensus?". `docs/raft.md` lists what was kept of them, what
+//! was changed and why.
+//!
+//! Inputs are the calls of [`Raft::tick`], [`Raft::handle_message`], [`Raft::on_write_durable`] and those of
+//! the local client; outputs are the [`Effect`]s, which the caller takes after each input and performs in order.
+//!
+//! | Concern | Module |
+//! |---|---|
+//! | Inputs: time and messages | `step` |
+//! | Elections, terms, votes | `election` |
+//! | Appending and sending entries, at the leader | `replication` |
+//! | AppendEntries, at a follower | `append` |
+//! | Advancing the commit index | `commit` |
+//! | Confirmed leadership and reads | `read_index` |
+//! | The leader's state; its peers' progress | `leader_state`, `progress` |
+//! | Membership changes | `membership_change`, `voter_plan` |
+//! | Leadership transfer; shutdown | `leadership_transfer`, `shutdown` |
+//! | Snapshots; their transfer | `snapshot`, `snapshot_transfer` |
+//! | The log in memory | `log` |
+//! | Persistent state; what waits for the disk | `storage`, `durability` |
+//! | A follower's evidence of its leader's quorum | `quorum_contact` |
+//! | Messages, effects, parameters | `message`, `effect`, `parameters` |
+//! | Measured durations; bounded queues | `duration_samples`, `bounded_queue` |
+
+mod append;
+mod bounded_queue;
+mod commit;
+mod durability;
 mod duration_samples;
+mod effect;
 mod election;
+mod leader_state;
+mod leadership_transfer;
 mod log;
 mod membership_change;
 mod message;
+mod parameters;
+mod progress;
 mod quorum_contact;
+mod read_index;
 mod replication;
+mod shutdown;
 mod snapshot;
+mod snapshot_transfer;
+mod step;
 mod storage;
+mod voter_plan;
 
+pub use effect::{Effect, ReadToken, WriteNumber};
 pub use message::{Message, MessageBody, SnapshotId};
-pub use storage::{Entry, PersistentState, Snapshot, Write};
+pub use parameters::{LEADER_CONFIRMATION, Parameters};
+pub use snapshot::{RetainedLog, SnapshotProgress};
+pub use storage::{Entry, HardState, IndexedEntry, PersistentState, Snapshot, Write};
 
 use crate::version::electorate::{Voter, VoterId};
-use duration_samples::{jitter, keep};
-use election::BACKOFF_MAX;
+use durability::Durability;
+use duration_samples::{DurationSamples, jitter};
+use election::ElectionState;
+use leader_state::LeaderState;
 use log::Log;
 use quorum_contact::QuorumContact;
-use replication::LeaderState;
-use snapshot::{EncodedSnapshot, IncomingSnapshot};
-use std::collections::{BTreeSet, VecDeque};
+use shutdown::ShutdownState;
+use snapshot_transfer::{EncodedSnapshot, IncomingSnapshot};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A leader counts as confirmed this long after a round began that a majority answered.
-pub const LEADER_CONFIRMATION: Duration = Duration::from_millis(400);
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
-    /// To be made durable; answered by [`Raft::durable`] with the same number.
-    Write(u64, Write),
-    /// To be let out once the write with this number is durable (0: at once).
-    Send(Ipv4Addr, Message, u64),
-    /// The snapshot replaces the state machine's state.
-    Restore(Snapshot),
-    Apply(u64, Entry),
-    /// A read asked for with this token may be answered now.
-    Readable(u64),
-    /// The read's leader is gone; ask again elsewhere.
-    Unreadable(u64),
-}
-
+/// The role of a daemon in its term (Raft §5.1). Learners are followers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
+    /// Follows a leader, or waits for one.
     Follower,
+    /// Asks whether it would be elected, before it raises its term (Raft dissertation §9.6).
     PreCandidate,
+    /// Asks for votes in a new term.
     Candidate,
+    /// Was elected in its term.
     Leader,
 }
 
-#[derive(Debug, Clone, Copy)]
-pub struct Parameters {
-    /// T of the paper: follower timeouts come from U(T, 2T), heartbeats go every T/2.
-    pub election_timeout: Duration,
-    /// A leader counts as confirmed for this long after a round that a majority answered began.
-    pub confirmation_window: Duration,
-    /// How many disks may be lost at once: what is committed is on more of them.
-    pub tolerance: usize,
-    /// Entries that stay in the log behind a snapshot.
-    pub retained_entries: u64,
-    /// Bytes of one piece of a snapshot on its way.
-    pub snapshot_chunk_bytes: usize,
-}
-
-impl Parameters {
-    /// With the usual tail and pieces.
-    pub fn new(t: Duration, confirm: Duration, tolerance: usize) -> Self {
-        Parameters {
-            election_timeout: t,
-            confirmation_window: confirm,
-            tolerance,
-            retained_entries: 1024,
-            snapshot_chunk_bytes: 64 * 1024,
-        }
-    }
-}
-
+/// One daemon's part in the consensus (Raft, figure 2).
 pub struct Raft {
     me: Voter,
     parameters: Parameters,
+    rng: fastrand::Rng,
+    /// The time of the latest input.
+    clock: Instant,
+    effects: Vec<Effect>,
+
+    // Persistent state: changed here first, then written; see `durability` for what waits until then.
     term: u64,
     vote: Option<VoterId>,
     log: Log,
-    commit: u64,
-    applied: u64,
+    durability: Durability,
+
+    // Applied state.
+    commit_index: u64,
+    last_applied: u64,
     /// Bytes of the entries applied since the last snapshot.
-    fresh_bytes: usize,
-    /// All that was decided before this moment is applied here; after a start nothing but what the last
-    /// snapshot held.
-    as_of: Option<Instant>,
-    contact: QuorumContact,
-    durable: u64,
-    writes: u64,
-    /// The newest write of term and vote.
-    hard_write: u64,
-    /// Last index written by each write that is under way.
-    writing: VecDeque<(u64, u64)>,
+    bytes_since_snapshot: usize,
+
+    // Role and elections.
     role: Role,
     leader: Option<Voter>,
-    due: Instant,
-    heard_leader: Option<Instant>,
-    pre_votes: BTreeSet<VoterId>,
-    /// Votes for this daemon in the current term, also those that come after the candidate's timer.
-    votes: BTreeSet<VoterId>,
-    backoff: u32,
-    election_began: Instant,
-    broadcast: VecDeque<Duration>,
-    /// How long writes took to be durable, lately; and when those under way began.
-    syncs: VecDeque<Duration>,
-    sync_began: VecDeque<(u64, Instant)>,
-    clock: Instant,
-    /// How long elections took that this daemon won.
-    pub elections: Vec<Duration>,
-    leading: LeaderState,
-    /// The snapshot as it is sent, once somebody wanted it.
-    packed: Option<Rc<EncodedSnapshot>>,
-    incoming: Option<IncomingSnapshot>,
-    /// This daemon is about to end, since then; when it asks the leader again; and whether it was let go.
-    leaving: Option<Instant>,
-    leave_due: Option<Instant>,
-    left: bool,
-    rng: fastrand::Rng,
-    out: Vec<Effect>,
+    last_leader_contact: Option<Instant>,
+    election: ElectionState,
+    /// From the start of a round to the response that completes a majority (Raft Refloated §4.3).
+    broadcast_times: DurationSamples,
+    /// How long the elections took that this daemon won, from its election timeout on; oldest first.
+    pub election_durations: Vec<Duration>,
+
+    // As a leader.
+    leader_state: LeaderState,
+    /// The latest snapshot as it is sent, once a peer needed it.
+    encoded_snapshot: Option<Rc<EncodedSnapshot>>,
+
+    // As a follower.
+    quorum_contact: QuorumContact,
+    /// All that was acknowledged before this moment is applied here; `None` after a start, when nothing
+    /// but the latest snapshot is.
+    follower_contact_at: Option<Instant>,
+    incoming_snapshot: Option<IncomingSnapshot>,
+
+    shutdown: ShutdownState,
 }
 
 impl Raft {
+    /// Starts as a follower from what is on disk. `rng` draws the timeouts and the nonces.
     pub fn new(
         now: Instant,
-        me: Ipv4Addr,
+        ip: Ipv4Addr,
         parameters: Parameters,
         stored: PersistentState,
         mut rng: fastrand::Rng,
     ) -> Self {
-        let due = now + jitter(&mut rng, parameters.election_timeout);
+        let election_deadline = now + jitter(&mut rng, parameters.election_timeout);
         let (id, term, vote) = (stored.id, stored.term, stored.vote);
         let log = Log::new(stored);
-        let covered = log.snapshot.index;
-        let mut raft = Raft {
-            me: Voter { id, ip: me },
+        let snapshot_index = log.snapshot().index;
+        let mut effects = Vec::new();
+        if snapshot_index > 0 {
+            effects.push(Effect::Restore(log.snapshot().clone()));
+        }
+        Raft {
+            me: Voter { id, ip },
             parameters,
+            rng,
+            clock: now,
+            effects,
             term,
             vote,
-            commit: covered,
-            applied: covered,
-            fresh_bytes: 0,
-            as_of: None,
-            contact: QuorumContact::default(),
-            durable: log.last_index(),
+            durability: Durability::new(log.last_index()),
             log,
-            writes: 0,
-            hard_write: 0,
-            writing: VecDeque::new(),
+            commit_index: snapshot_index,
+            last_applied: snapshot_index,
+            bytes_since_snapshot: 0,
             role: Role::Follower,
             leader: None,
-            due,
-            heard_leader: None,
-            pre_votes: BTreeSet::new(),
-            votes: BTreeSet::new(),
-            backoff: 0,
-            election_began: now,
-            broadcast: VecDeque::new(),
-            syncs: VecDeque::new(),
-            sync_began: VecDeque::new(),
-            clock: now,
-            elections: Vec::new(),
-            leading: LeaderState::default(),
-            packed: None,
-            incoming: None,
-            leaving: None,
-            leave_due: None,
-            left: false,
-            rng,
-            out: Vec::new(),
-        };
-        if covered > 0 {
-            raft.out.push(Effect::Restore(raft.log.snapshot.clone()));
+            last_leader_contact: None,
+            election: ElectionState::new(now, election_deadline),
+            broadcast_times: DurationSamples::default(),
+            election_durations: Vec::new(),
+            leader_state: LeaderState::default(),
+            encoded_snapshot: None,
+            quorum_contact: QuorumContact::default(),
+            follower_contact_at: None,
+            incoming_snapshot: None,
+            shutdown: ShutdownState::default(),
         }
-        raft
     }
 
+    /// Takes the effects of the inputs so far.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// This daemon's identity and address.
     pub fn me(&self) -> Voter {
         self.me
     }
+
+    /// The latest term seen.
     pub fn term(&self) -> u64 {
         self.term
     }
+
+    /// The role in that term.
     pub fn role(&self) -> Role {
         self.role
     }
+
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<Voter> {
         self.leader
     }
-    pub fn commit(&self) -> u64 {
-        self.commit
+
+    /// The index up to which the log is known to be committed.
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
+
+    /// The index of the last entry of the log.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
-    /// The snapshot's index, and how many entries are kept, also from before it.
-    pub fn retained_log(&self) -> (u64, usize) {
-        (self.log.snapshot.index, self.log.len())
-    }
-    pub fn effects(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.out)
+
+    /// The entry at an index, unless it is compacted or not there yet.
+    pub fn entry(&self, index: u64) -> Option<&Entry> {
+        self.log.entry(index)
     }
 
-    /// When this daemon began to lead.
+    /// When this daemon was elected, while it leads.
     pub fn leading_since(&self) -> Option<Instant> {
-        (self.role == Role::Leader).then_some(self.leading.since).flatten()
+        (self.role == Role::Leader).then_some(self.leader_state.elected_at).flatten()
     }
 
-    /// All that was decided before this moment is applied here, by this daemon's own clock and however long
-    /// messages were on their way: a leader of which that is true was in contact with a majority after it.
+    /// All that was acknowledged before this moment is applied here, by this daemon's own clock and however
+    /// long messages were on their way: a leader of whom that is true was in contact with a majority
+    /// after that moment.
     pub fn last_quorum_contact(&self) -> Option<Instant> {
-        let leads = self.role == Role::Leader && self.commit >= self.leading.first;
-        self.as_of.max(self.leading.confirmed.filter(|_| leads))
+        let is_current_leader = self.role == Role::Leader && self.has_committed_in_term();
+        self.follower_contact_at.max(self.leader_state.confirmed_at.filter(|_| is_current_leader))
     }
 
-    /// Whether the state here has been current at some moment since the start.
+    /// Whether the applied state has been current at some moment since the start.
     pub fn has_had_quorum_contact(&self) -> bool {
         self.last_quorum_contact().is_some()
     }
-
-    /// The entry at an index, while it is not compacted away.
-    pub fn entry(&self, index: u64) -> Option<&Entry> {
-        self.log.entry(index)
-    }
-
-    fn write(&mut self, write: Write) {
-        self.writes += 1;
-        if write.hard_state.is_some() {
-            self.hard_write = self.writes;
-        }
-        self.writing.push_back((self.writes, self.log.last_index()));
-        self.sync_began.push_back((self.writes, self.clock));
-        self.out.push(Effect::Write(self.writes, write));
-    }
-
-    /// Term and vote; where they were just queued in the same turn, that write is changed instead.
-    fn write_hard(&mut self) {
-        let hard = Some((self.term, self.vote));
-        if let Some(Effect::Write(_, last)) = self.out.last_mut()
-            && last.hard_state.is_some()
-        {
-            last.hard_state = hard;
-            return;
-        }
-        self.write(Write { hard_state: hard, ..Write::default() });
-    }
-
-    /// What stood from this index on is not in the log any more, also where it is being written.
-    fn not_durable_from(&mut self, index: u64) {
-        self.durable = self.durable.min(index - 1);
-        for (_, last) in &mut self.writing {
-            *last = (*last).min(index - 1);
-        }
-    }
-
-    fn send(&mut self, to: Voter, body: MessageBody) {
-        let after = match body {
-            // A vote, or word of what is in the log here, rests on all that was written before.
-            MessageBody::RequestVote { .. }
-            | MessageBody::VoteResponse { .. }
-            | MessageBody::AppendResponse { .. }
-            | MessageBody::SnapshotResponse { .. } => self.writes,
-            // A leader's messages rest on its term alone: it counts itself only for what is durable.
-            MessageBody::AppendEntries { .. }
-            | MessageBody::InstallSnapshot { .. }
-            | MessageBody::TimeoutNow
-            | MessageBody::LeaveApproved => self.hard_write,
-            MessageBody::StaleTerm => self.hard_write,
-            MessageBody::PreVote { .. }
-            | MessageBody::PreVoteResponse { .. }
-            | MessageBody::Join { .. }
-            | MessageBody::Leave => 0,
-        };
-        let message = Message { from: self.me, to: to.id, term: self.term, body };
-        self.out.push(Effect::Send(to.ip, message, after));
-    }
-
-    /// How long the oldest write under way has been waiting for the disk.
-    fn disk_silent(&self, now: Instant) -> Duration {
-        self.sync_began.front().map_or(Duration::ZERO, |(_, began)| now.duration_since(*began))
-    }
-
-    /// The next moment at which [`Raft::tick`] has something to do.
-    pub fn next_due(&self) -> Instant {
-        let due = match self.role {
-            Role::Leader => self.leading.beat_due.unwrap_or(self.due),
-            _ => self.due,
-        };
-        self.leave_due.map_or(due, |l| due.min(l))
-    }
-
-    pub fn tick(&mut self, now: Instant) {
-        self.clock = now;
-        if self.leave_due.is_some_and(|d| now >= d) {
-            self.ask_to_leave(now);
-        }
-        if self.role == Role::Leader {
-            if self.leading.beat_due.is_none_or(|d| now >= d) {
-                self.check_quorum(now);
-                if self.role == Role::Leader {
-                    self.begin_round(now);
-                    self.hand_on(now);
-                    self.settle_membership(now);
-                }
-            }
-            return;
-        }
-        if now < self.due {
-            return;
-        }
-        // One whose disk hangs could not vote for itself either.
-        if !self.may_stand() || self.disk_silent(now) > self.parameters.election_timeout * 2 {
-            self.due = now + jitter(&mut self.rng, self.parameters.election_timeout) * 2;
-            return;
-        }
-        match self.role {
-            Role::Follower => {
-                self.election_began = now;
-                self.backoff = 0;
-                self.leader = None;
-                self.ask_pre_votes(now);
-            }
-            Role::PreCandidate => self.ask_pre_votes(now),
-            Role::Candidate => {
-                // Rejected by a majority, or without an answer from one: either way others need time.
-                self.backoff = (self.backoff + 1).min(BACKOFF_MAX);
-                self.ask_pre_votes(now);
-            }
-            Role::Leader => {}
-        }
-    }
-
-    /// A write is on disk.
-    pub fn on_write_durable(&mut self, now: Instant, write: u64) {
-        self.clock = now;
-        while let Some((number, began)) = self.sync_began.front().copied() {
-            if number > write {
-                break;
-            }
-            self.sync_began.pop_front();
-            keep(&mut self.syncs, now.duration_since(began));
-        }
-        while let Some((number, last)) = self.writing.front().copied() {
-            if number > write {
-                break;
-            }
-            self.writing.pop_front();
-            self.durable = last;
-        }
-        self.durable = self.durable.min(self.log.last_index());
-        if self.role == Role::Leader {
-            self.advance();
-        }
-    }
-
-    pub fn handle_message(&mut self, now: Instant, message: Message) {
-        self.clock = now;
-        let Message { from, to, term, body } = message;
-        if to != self.me.id && !matches!(body, MessageBody::Join { .. }) {
-            return;
-        }
-        // These raise nobody's term.
-        match body {
-            MessageBody::PreVote { last_index, last_term } => {
-                return self.pre_vote_asked(now, from, term, (last_index, last_term));
-            }
-            MessageBody::PreVoteResponse { granted } => return self.pre_vote_answered(now, from, term, granted),
-            MessageBody::Join { voter } => return self.admit(now, from, voter),
-            MessageBody::Leave => return self.leave_asked(now, from),
-            _ => {}
-        }
-        if term > self.term {
-            let leads = matches!(body, MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. });
-            self.follow(now, term, leads.then_some(from));
-        }
-        match body {
-            MessageBody::RequestVote { last_index, last_term } => {
-                self.vote_asked(now, from, term, (last_index, last_term))
-            }
-            MessageBody::VoteResponse { granted } => self.voted(now, from, term, granted),
-            MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed } => {
-                if term < self.term {
-                    return self.send(from, MessageBody::StaleTerm);
-                }
-                self.hear(now, from);
-                let contact = self.contact.heard((from.id, term), round, echo, confirmed);
-                let (success, index) = self.take(prev_index, prev_term, entries);
-                if success {
-                    self.commit_to(commit.min(index));
-                    if self.commit >= commit && self.log.term_at(self.commit) == Some(self.term) {
-                        self.as_of = self.as_of.max(contact);
-                    }
-                }
-                self.answer(from, round, success, index);
-            }
-            MessageBody::InstallSnapshot { round, of, offset, bytes } => {
-                if term < self.term {
-                    return self.send(from, MessageBody::StaleTerm);
-                }
-                self.hear(now, from);
-                match self.take_piece(of, offset, &bytes) {
-                    Some(offset) => self.send(from, MessageBody::SnapshotResponse { round, of, offset }),
-                    None => self.answer(from, round, true, self.commit),
-                }
-            }
-            MessageBody::AppendResponse { round, success, index, nonce } if self.leads(term) => {
-                if let Some(peer) = self.leading.peers.get_mut(&from.id) {
-                    peer.echo = nonce;
-                }
-                self.appended(now, from, round, success, index);
-            }
-            MessageBody::SnapshotResponse { round, of, offset } if self.leads(term) => {
-                self.snapshot_taken(now, from, round, of, offset)
-            }
-            MessageBody::TimeoutNow if term == self.term && self.role == Role::Follower && self.may_stand() => {
-                self.election_began = now;
-                self.stand(now);
-            }
-            MessageBody::LeaveApproved if term == self.term => self.left = self.leaving.is_some(),
-            _ => {}
-        }
-    }
-
-    fn answer(&mut self, leader: Voter, round: u64, success: bool, index: u64) {
-        let nonce = self.rng.u32(1..);
-        self.contact.answers(self.clock, nonce);
-        self.send(leader, MessageBody::AppendResponse { round, success, index, nonce });
-    }
-
-    fn leads(&self, term: u64) -> bool {
-        self.role == Role::Leader && term == self.term
-    }
-
-    fn hear(&mut self, now: Instant, leader: Voter) {
-        self.role = Role::Follower;
-        self.leader = Some(leader);
-        self.heard_leader = Some(now);
-        self.arm_follower(now);
-    }
 }
--- a/engine/src/process/consensus/quorum_contact.rs
+++ b/engine/src/process/consensus/quorum_contact.rs
@@ -1,50 +1,78 @@
-//! How lately a follower's leader was in contact with a majority, proven by the follower's own clock.
+//! When a follower's leader was last known to be in contact with a majority, by the follower's own clock.
 //!
-//! A leader's message may be old when it is read: it was on its way for long, or sender or receiver were frozen.
-//! So each answer carries a nonce, and the leader sends the last one back: a round whose message brings back a
-//! nonce began after that answer was given here. Once the leader says that a majority has answered that round,
-//! it led, and was in contact, at some moment after that answer.
+//! A leader's message may be old when it is read: it may have been delayed, or the sender or the
+//! receiver may have been suspended. Therefore every response carries a nonce, and the leader echoes the
+//! last nonce it received. A round whose message echoes a nonce began after the response with that nonce
+//! was sent from here. Once the leader reports that a majority has answered that round, it was the leader
+//! and in contact with a majority at some moment after that response.
 
+use super::bounded_queue::push_bounded;
 use crate::version::electorate::VoterId;
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Answers and rounds remembered.
-const KEPT: usize = 64;
+/// Number of responses and of rounds remembered.
+const REMEMBERED: usize = 64;
 
-#[derive(Debug, Default)]
-pub(super) struct QuorumContact {
-    /// Whom the answers went to, and in which term.
-    with: (VoterId, u64),
-    /// Nonces of answers, and when each was given.
-    answers: VecDeque<(u32, Instant)>,
-    /// Rounds that began after an answer was given, and when that was.
-    rounds: VecDeque<(u64, Instant)>,
+/// A leader in one term.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+pub(super) struct LeaderTerm {
+    pub leader: VoterId,
+    pub term: u64,
 }
 
-fn keep<T>(kept: &mut VecDeque<T>, new: T) {
-    kept.push_back(new);
-    if kept.len() > KEPT {
-        kept.pop_front();
-    }
+/// What a leader's append message says about its rounds.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RoundReport {
+    /// The round that the message belongs to.
+    pub round: u64,
+    /// The nonce of the last response the leader had from this daemon; 0 for none.
+    pub echoed_nonce: u32,
+    /// The newest round that a majority has answered.
+    pub confirmed_round: u64,
+}
+
+/// A response sent from here.
+#[derive(Debug, Clone, Copy)]
+struct SentResponse {
+    nonce: u32,
+    sent_at: Instant,
+}
+
+/// A round of the leader that is known to have begun after `began_after`.
+#[derive(Debug, Clone, Copy)]
+struct ObservedRound {
+    round: u64,
+    began_after: Instant,
+}
+
+/// Responses sent to the current leader, and its rounds that are known to have begun after them.
+#[derive(Debug, Default)]
+pub(super) struct QuorumContact {
+    /// The leader and term that the rounds below belong to.
+    leader: LeaderTerm,
+    responses: VecDeque<SentResponse>,
+    rounds: VecDeque<ObservedRound>,
 }
 
 impl QuorumContact {
-    /// A leader's message of this round has come, with the nonce of an answer and the newest round that a
-    /// majority answered. Gives a moment after which the leader was in contact, before it sent this message.
-    pub fn heard(&mut self, with: (VoterId, u64), round: u64, echo: u32, confirmed: u64) -> Option<Instant> {
-        if self.with != with {
-            *self = QuorumContact { with, ..QuorumContact::default() };
+    /// Takes in a leader's append message. Returns the latest moment after which the leader is known to
+    /// have been in contact with a majority, before it sent this message.
+    pub fn on_leader_message(&mut self, leader: LeaderTerm, report: RoundReport) -> Option<Instant> {
+        if self.leader != leader {
+            *self = QuorumContact { leader, ..QuorumContact::default() };
         }
-        if let Some((_, given)) = self.answers.iter().find(|(nonce, _)| *nonce == echo) {
-            let given = *given;
-            keep(&mut self.rounds, (round, given));
+        let echoed = self.responses.iter().find(|response| response.nonce == report.echoed_nonce).copied();
+        if let Some(response) = echoed {
+            let observed = ObservedRound { round: report.round, began_after: response.sent_at };
+            push_bounded(&mut self.rounds, observed, REMEMBERED);
         }
-        self.rounds.iter().filter(|(round, _)| *round <= confirmed).map(|(_, given)| *given).max()
+        let confirmed = self.rounds.iter().filter(|observed| observed.round <= report.confirmed_round);
+        confirmed.map(|observed| observed.began_after).max()
     }
 
-    /// An answer with this nonce is given now.
-    pub fn answers(&mut self, now: Instant, nonce: u32) {
-        keep(&mut self.answers, (nonce, now));
+    /// A response with this nonce is sent now.
+    pub fn record_response(&mut self, now: Instant, nonce: u32) {
+        push_bounded(&mut self.responses, SentResponse { nonce, sent_at: now }, REMEMBERED);
     }
 }
--- a/engine/src/process/consensus/replication.rs
+++ b/engine/src/process/consensus/replication.rs
@@ -1,350 +1,173 @@
-//! The leader's side of the log: rounds, batches, confirmation and commit; and the follower's append.
+//! Log replication at the leader (Raft §5.3): proposals, rounds of messages, batches and their responses.
 
-use super::duration_samples::keep;
-use super::membership_change::CatchUpRound;
-use super::snapshot::SnapshotTransfer;
-use super::{Effect, Entry, MessageBody, Raft, Role, Write};
+use super::leader_state::LeaderState;
+use super::log::{Log, LogPosition};
+use super::progress::{InflightAppend, Progress};
+use super::{Entry, IndexedEntry, MessageBody, Raft, Role, Write};
 use crate::version::control_state::{Command, ProposalId};
 use crate::version::electorate::{Voter, VoterId};
-use std::collections::{BTreeMap, VecDeque};
-use std::net::Ipv4Addr;
 use std::time::Instant;
 
-/// Entries in one message, and its rough size.
-const BATCH_ENTRIES: usize = 64;
+/// Entries in one message, at most.
+const BATCH_ENTRIES_MAX: usize = 64;
+/// A batch ends with the entry that takes it beyond this many bytes.
 const BATCH_BYTES: usize = 1 << 20;
-/// A leader takes no proposal while so many bytes of its log are not committed.
-const OPEN_BYTES: usize = 8 << 20;
-/// What is on its way and unanswered for this many T is sent again, whatever else was answered.
-const UNANSWERED: u32 = 4;
-/// Rounds remembered for confirmation.
-const ROUNDS: usize = 64;
+/// A leader takes no proposal while more bytes of its log than this are uncommitted.
+const UNCOMMITTED_BYTES_MAX: usize = 8 << 20;
+/// A batch that is not acknowledged within this many T is sent again, whatever else was acknowledged.
+const RESEND_AFTER_T: u32 = 4;
 
-/// What a leader knows of another daemon that it sends the log to.
-#[derive(Debug)]
-pub(super) struct Progress {
-    pub ip: Ipv4Addr,
-    /// Sent the log since then, and the newest round at that time.
-    pub since: Instant,
-    pub since_round: u64,
-    /// Outside the electorate, it asked to be admitted.
-    pub wants: bool,
-    /// It said then that it is about to end.
-    pub leaving: Option<Instant>,
-    pub next: u64,
-    pub matched: u64,
-    /// Newest round answered, and the nonce of the last answer.
-    pub round: u64,
-    pub echo: u32,
-    pub heard: Option<Instant>,
-    /// Entries on their way; no more until they are answered or seem lost.
-    pub inflight: Option<InflightAppend>,
-    /// A snapshot on its way.
-    pub snapshot_transfer: Option<SnapshotTransfer>,
-    /// How a newcomer catches up.
-    pub catch_up: CatchUpRound,
-}
-
-/// Entries on their way to a peer: the round of their message, the last of them, and since when.
+/// The fields of [`MessageBody::AppendResponse`].
 #[derive(Debug, Clone, Copy)]
-pub(super) struct InflightAppend {
-    round: u64,
-    last: u64,
-    since: Instant,
-}
-
-#[derive(Debug, Default)]
-pub(super) struct LeaderState {
-    pub peers: BTreeMap<VoterId, Progress>,
-    rounds: VecDeque<(u64, Instant)>,
+pub(super) struct AppendResponse {
     pub round: u64,
-    pub beat_due: Option<Instant>,
-    pub confirmed: Option<Instant>,
-    confirmed_round: u64,
-    reads: Vec<(u64, u64)>,
-    /// Index of this term's first entry.
-    pub first: u64,
-    pub since: Option<Instant>,
-}
-
-impl LeaderState {
-    /// A lead that begins now, with its first entry at this index.
-    pub fn new(now: Instant, first: u64) -> Self {
-        LeaderState { first, since: Some(now), ..LeaderState::default() }
-    }
+    pub success: bool,
+    pub index: u64,
+    pub nonce: u32,
 }
 
 impl Raft {
-    pub(super) fn add_peer(&mut self, now: Instant, peer: Voter, next: u64) {
-        let fresh = Progress {
-            ip: peer.ip,
-            since: now,
-            since_round: self.leading.round,
-            wants: false,
-            leaving: None,
-            next,
-            matched: 0,
-            round: 0,
-            echo: 0,
-            heard: None,
-            inflight: None,
-            snapshot_transfer: None,
-            catch_up: CatchUpRound::new(now, next - 1),
-        };
-        self.leading.peers.insert(peer.id, fresh);
+    /// Begins to send the log to a peer, from `next_index` on.
+    pub(super) fn track_peer(&mut self, now: Instant, peer: Voter, next_index: u64) {
+        let LeaderState { peers, round, .. } = &mut self.leader_state;
+        peers.insert(peer.id, Progress::new(now, peer.ip, next_index, *round));
     }
 
-    /// Takes a proposal and gives its index; only a leader does, and not while it hands its lead on or
-    /// has too much that is not committed. One that is in the log undecided is not taken twice.
-    pub fn propose(&mut self, now: Instant, mark: ProposalId, command: Command) -> Option<u64> {
+    /// Appends a proposal and returns its index; `None` if this daemon does not lead, transfers its
+    /// leadership or has too much uncommitted. An uncommitted proposal that is in the log is not appended
+    /// again.
+    pub fn propose(&mut self, now: Instant, proposal_id: ProposalId, command: Command) -> Option<u64> {
         self.clock = now;
         if self.role != Role::Leader {
             return None;
         }
-        let open = || self.log.from(self.commit + 1);
-        if mark.serial != 0
-            && let Some(at) = open().position(|e| e.proposal_id == mark)
-        {
-            return Some(self.commit + 1 + at as u64);
+        let first_uncommitted = self.commit_index + 1;
+        if proposal_id.serial != 0 {
+            let mut uncommitted = self.log.entries_from(first_uncommitted);
+            if let Some(offset) = uncommitted.position(|entry| entry.proposal_id == proposal_id) {
+                return Some(first_uncommitted + offset as u64);
+            }
         }
-        if self.hands_on(now) || open().map(Entry::size).sum::<usize>() > OPEN_BYTES {
+        if self.is_transferring_leadership(now) || self.uncommitted_bytes() > UNCOMMITTED_BYTES_MAX {
             return None;
         }
-        Some(self.append(now, mark, command))
+        Some(self.append(now, proposal_id, command))
     }
 
-    pub(super) fn append(&mut self, now: Instant, mark: ProposalId, command: Command) -> u64 {
-        let entry = Entry { term: self.term, proposal_id: mark, command };
-        let elects = matches!(entry.command, Command::ChangeElectorate { .. });
+    fn uncommitted_bytes(&self) -> usize {
+        self.log.entries_from(self.commit_index + 1).map(Entry::size).sum()
+    }
+
+    /// Appends an entry of this term to the leader's log, which it never overwrites (Raft §5.3, leader
+    /// append-only), and sends it to the peers.
+    pub(super) fn append(&mut self, now: Instant, proposal_id: ProposalId, command: Command) -> u64 {
+        let entry = Entry { term: self.term, proposal_id, command };
+        let changes_electorate = matches!(entry.command, Command::ChangeElectorate { .. });
         let index = self.log.push(entry.clone());
-        if elects {
-            for voter in self.others() {
-                if !self.leading.peers.contains_key(&voter.id) {
-                    self.add_peer(now, voter, index);
-                }
-            }
+        if changes_electorate {
+            self.track_new_voters(now, index);
         }
-        self.write(Write { entries: vec![(index, entry)], ..Write::default() });
+        self.write(Write { entries: vec![IndexedEntry { index, entry }], ..Write::default() });
         self.begin_round(now);
         index
     }
 
-    /// Asks for proof that this is still the leader; answered by `Readable` or `Unreadable`.
-    pub fn read(&mut self, now: Instant, token: u64) {
-        if self.role != Role::Leader {
-            self.out.push(Effect::Unreadable(token));
-            return;
+    fn track_new_voters(&mut self, now: Instant, next_index: u64) {
+        for voter in self.other_voters() {
+            if !self.leader_state.peers.contains_key(&voter.id) {
+                self.track_peer(now, voter, next_index);
+            }
         }
-        self.begin_round(now);
-        self.leading.reads.push((self.leading.round, token));
-        self.settle_reads();
     }
 
+    /// Sends a message to every peer; the responses confirm that this daemon still leads (`read_index.rs`).
     pub(super) fn begin_round(&mut self, now: Instant) {
-        self.leading.round += 1;
-        self.leading.rounds.push_back((self.leading.round, now));
-        if self.leading.rounds.len() > ROUNDS {
-            self.leading.rounds.pop_front();
-        }
-        self.leading.beat_due = Some(now + self.parameters.election_timeout / 2);
-        let ids: Vec<VoterId> = self.leading.peers.keys().copied().collect();
-        for id in ids {
+        self.leader_state.begin_round(now);
+        self.leader_state.next_heartbeat_at = Some(now + self.parameters.heartbeat_interval());
+        let peers: Vec<VoterId> = self.leader_state.peers.keys().copied().collect();
+        for id in peers {
             self.replicate(now, id, true);
         }
-        self.confirm_round(now);
-        self.advance();
+        self.confirm_answered_rounds(now);
+        self.advance_commit_index();
     }
 
-    /// Sends a peer what it lacks, as far as nothing is on its way already; `beat`: something in any case.
-    pub(super) fn replicate(&mut self, now: Instant, id: VoterId, beat: bool) {
-        let (round, commit, confirmed) = (self.leading.round, self.commit, self.leading.confirmed_round);
-        let (base_index, base_term) = self.log.base();
-        let Some(peer) = self.leading.peers.get_mut(&id) else { return };
-        let to = Voter { id, ip: peer.ip };
-        let patience = self.parameters.election_timeout * UNANSWERED;
-        if peer.inflight.is_some_and(|f| now.duration_since(f.since) > patience) {
-            peer.inflight = None;
-        }
-        if peer.next <= base_index {
-            if beat {
-                let (prev_index, prev_term, entries, echo) = (base_index, base_term, Vec::new(), peer.echo);
-                self.send(
-                    to,
-                    MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed },
-                );
+    /// Sends a peer the entries that it lacks, unless some are on their way already; with `heartbeat` a
+    /// message is sent in any case. A peer that lacks entries which are compacted gets the snapshot.
+    pub(super) fn replicate(&mut self, now: Instant, id: VoterId, heartbeat: bool) {
+        let base = self.log.base();
+        let resend_after = self.parameters.election_timeout * RESEND_AFTER_T;
+        let Some(peer) = self.leader_state.peers.get_mut(&id) else { return };
+        peer.expire_inflight(now, resend_after);
+        if peer.next_index <= base.index {
+            let to = peer.voter(id);
+            if heartbeat {
+                self.send_append(id, base, Vec::new());
             }
             self.send_snapshot(now, to);
             return;
         }
-        let prev_index = peer.next - 1;
-        let mut entries = Vec::new();
-        if peer.inflight.is_none() {
-            let mut bytes = 0;
-            for entry in self.log.from(peer.next).take(BATCH_ENTRIES) {
-                bytes += entry.size();
-                entries.push(entry.clone());
-                if bytes > BATCH_BYTES {
-                    break;
-                }
-            }
-        }
-        if entries.is_empty() && !beat {
+        let prev_index = peer.next_index - 1;
+        let entries = if peer.inflight.is_none() { next_batch(&self.log, peer.next_index) } else { Vec::new() };
+        if entries.is_empty() && !heartbeat {
             return;
         }
         if !entries.is_empty() {
-            peer.inflight = Some(InflightAppend { round, last: prev_index + entries.len() as u64, since: now });
+            let (round, last_index) = (self.leader_state.round, prev_index + entries.len() as u64);
+            peer.inflight = Some(InflightAppend { round, last_index, sent_at: now });
         }
-        let (prev_term, echo) = (self.log.term_at(prev_index).unwrap_or(0), peer.echo);
-        self.send(to, MessageBody::AppendEntries { round, prev_index, prev_term, entries, commit, echo, confirmed });
+        let prev_term = self.log.term_at(prev_index).unwrap_or(0);
+        self.send_append(id, LogPosition { term: prev_term, index: prev_index }, entries);
     }
 
-    /// Whether a majority has answered a round begun within the confirmation span, and an entry of
-    /// this term is committed: only then does this daemon act as the leader towards others.
-    pub fn is_confirmed_leader(&self, now: Instant) -> bool {
-        self.role == Role::Leader
-            && self.commit >= self.leading.first
-            && self.leading.confirmed.is_some_and(|t| now < t + self.parameters.confirmation_window)
-    }
-
-    fn confirm_round(&mut self, now: Instant) {
-        let answered = |id| match id == self.me.id {
-            true => self.leading.round,
-            false => self.leading.peers.get(&id).map_or(0, |p| p.round),
+    /// Sends AppendEntries with the entries after `prev`.
+    fn send_append(&mut self, id: VoterId, prev: LogPosition, entries: Vec<Entry>) {
+        let Some(peer) = self.leader_state.peers.get(&id) else { return };
+        let body = MessageBody::AppendEntries {
+            round: self.leader_state.round,
+            prev_index: prev.index,
+            prev_term: prev.term,
+            entries,
+            leader_commit: self.commit_index,
+            echoed_nonce: peer.last_nonce,
+            confirmed_round: self.leader_state.confirmed_round,
         };
-        let round = self.log.electorate().reached(0, answered);
-        if round <= self.leading.confirmed_round {
-            return;
-        }
-        self.leading.confirmed_round = round;
-        if let Some((_, began)) = self.leading.rounds.iter().find(|(r, _)| *r == round) {
-            let began = *began;
-            self.leading.confirmed = Some(began);
-            keep(&mut self.broadcast, now.duration_since(began));
-        }
-        self.leading.rounds.retain(|(r, _)| *r > round);
-        self.settle_reads();
+        self.send(peer.voter(id), body);
     }
 
-    fn settle_reads(&mut self) {
-        if self.commit < self.leading.first {
-            return;
-        }
-        let confirmed = self.leading.confirmed_round;
-        let mut reads = std::mem::take(&mut self.leading.reads);
-        reads.retain(|(round, token)| {
-            let ready = *round <= confirmed;
-            if ready {
-                self.out.push(Effect::Readable(*token));
-            }
-            !ready
-        });
-        self.leading.reads = reads;
-    }
-
-    pub(super) fn drop_reads(&mut self) {
-        for (_, token) in std::mem::take(&mut self.leading.reads) {
-            self.out.push(Effect::Unreadable(token));
-        }
-    }
-
-    /// Commits what a majority, and more than the tolerance, hold durably, and only by way of an entry
-    /// of this term.
-    pub(super) fn advance(&mut self) {
-        let held = |id| match id == self.me.id {
-            true => self.durable,
-            false => self.leading.peers.get(&id).map_or(0, |p| p.matched),
-        };
-        let index = self.log.electorate().reached(self.parameters.tolerance, held);
-        if index > self.commit && self.log.term_at(index) == Some(self.term) {
-            self.commit_to(index);
-            self.settle_reads();
-        }
-    }
-
-    pub(super) fn commit_to(&mut self, index: u64) {
-        self.commit = self.commit.max(index.min(self.log.last_index()));
-        while self.applied < self.commit {
-            self.applied += 1;
-            let Some(entry) = self.log.entry(self.applied).cloned() else { break };
-            self.fresh_bytes += entry.size();
-            self.out.push(Effect::Apply(self.applied, entry));
-        }
-        if self.incoming.as_ref().is_some_and(|i| i.of.index <= self.commit) {
-            self.incoming = None;
-        }
-    }
-
-    /// The log check and the append; says whether it fitted and up to where the log agrees, or else
-    /// from where to try again.
-    pub(super) fn take(&mut self, prev_index: u64, prev_term: u64, entries: Vec<Entry>) -> (bool, u64) {
-        let (base_index, base_term) = self.log.base();
-        if prev_index < base_index {
-            // What lies before the base is committed here.
-            let covered = (base_index - prev_index) as usize;
-            if entries.len() <= covered {
-                return (true, prev_index + entries.len() as u64);
-            }
-            return self.take(base_index, base_term, entries[covered..].to_vec());
-        }
-        match self.log.term_at(prev_index) {
-            Some(t) if t == prev_term => {}
-            Some(_) => return (false, self.log.before_term_of(prev_index, self.commit)),
-            None => return (false, self.log.last_index()),
-        }
-        let mut write = Write::default();
-        let agreed = prev_index + entries.len() as u64;
-        for (at, entry) in entries.into_iter().enumerate() {
-            let index = prev_index + 1 + at as u64;
-            match self.log.term_at(index) {
-                Some(t) if t == entry.term => continue,
-                Some(_) => {
-                    assert!(index > self.commit, "a committed entry would be dropped");
-                    self.log.truncate(index);
-                    self.not_durable_from(index);
-                    write.truncate = Some(index);
-                }
-                None => {}
-            }
-            self.log.push(entry.clone());
-            write.entries.push((index, entry));
-        }
-        if write != Write::default() {
-            self.write(write);
-        }
-        (true, agreed)
+    /// A peer has answered AppendEntries in this term.
+    pub(super) fn on_append_response(&mut self, now: Instant, from: Voter, response: AppendResponse) {
+        let (last_index, base) = (self.log.last_index(), self.log.base());
+        let Some(peer) = self.leader_state.peers.get_mut(&from.id) else { return };
+        peer.last_nonce = response.nonce;
+        peer.record_response(now, response.round);
+        peer.ip = from.ip;
+        if response.success {
+            peer.on_append_accepted(now, response.round, response.index, last_index);
+        } else {
+            peer.on_append_rejected(response.index, base.index);
+        }
+        let lacks_entries = peer.next_index <= last_index;
+        self.confirm_answered_rounds(now);
+        self.advance_commit_index();
+        if lacks_entries {
+            self.replicate(now, from.id, false);
+        }
+        self.transfer_leadership(now);
+        self.advance_membership(now);
     }
+}
 
-    pub(super) fn appended(&mut self, now: Instant, from: Voter, round: u64, success: bool, index: u64) {
-        let (last, (base, _)) = (self.log.last_index(), self.log.base());
-        let Some(peer) = self.leading.peers.get_mut(&from.id) else { return };
-        peer.heard = Some(now);
-        peer.round = peer.round.max(round);
-        peer.ip = from.ip;
-        if success {
-            peer.matched = peer.matched.max(index);
-            peer.next = peer.next.max(peer.matched + 1);
-            // Answers come in the order of questions, so a later round's says that the batch was lost.
-            if peer.inflight.is_some_and(|f| f.last <= peer.matched || f.round < round) {
-                peer.inflight = None;
-            }
-            if peer.snapshot_transfer.as_ref().is_some_and(|s| s.of.index <= peer.matched) {
-                peer.snapshot_transfer = None;
-            }
-            peer.catch_up.reached(now, peer.matched, last);
-        } else if peer.snapshot_transfer.is_none() || peer.next > base {
-            peer.snapshot_transfer = None;
-            peer.next = (index + 1).min(peer.next.saturating_sub(1)).max(peer.matched + 1);
-            peer.inflight = None;
-        }
-        let more = peer.next <= last;
-        self.confirm_round(now);
-        self.advance();
-        if self.role == Role::Leader {
-            if more {
-                self.replicate(now, from.id, false);
-            }
-            self.hand_on(now);
-            self.settle_membership(now);
+/// The entries of the next message, from an index on.
+fn next_batch(log: &Log, from: u64) -> Vec<Entry> {
+    let mut batch = Vec::new();
+    let mut bytes = 0;
+    for entry in log.entries_from(from).take(BATCH_ENTRIES_MAX) {
+        bytes += entry.size();
+        batch.push(entry.clone());
+        if bytes > BATCH_BYTES {
+            break;
         }
     }
+    batch
 }
--- a/engine/src/process/consensus/snapshot.rs
+++ b/engine/src/process/consensus/snapshot.rs
@@ -1,206 +1,237 @@
-//! Snapshots: taken of the applied state; sent in pieces, and installed where the log is behind.
+//! Snapshots (Raft §7): taken of the applied state, sent in chunks, and installed where the log lags.
 //!
-//! One piece is on its way to a peer at a time, so that what a snapshot takes of a link follows from the
-//! round trip. A piece that is not answered is sent again; what has come is kept, and goes on where it
-//! stopped, also under another leader that holds the same snapshot. The snapshot being sent is held until
-//! it is installed, whatever newer one there is by then, and the log keeps what follows it.
+//! One chunk is on its way to a peer at a time, so the share of a link that a snapshot takes follows from
+//! the round-trip time. A chunk that is not answered is sent again. What was received is kept, and goes on
+//! where it stopped also under another leader that sends the same snapshot. The snapshot being sent is held
+//! until it is installed, and the log keeps what follows it.
 
-use super::replication::Progress;
+use super::snapshot_transfer::{EncodedSnapshot, IncomingSnapshot, SnapshotTransfer};
 use super::{Effect, MessageBody, Raft, Snapshot, SnapshotId, Write};
-use crate::digest::digest;
-use crate::version::electorate::{Voter, VoterId};
+use crate::version::electorate::{Electorate, Voter, VoterId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A snapshot longer than this is nobody's.
-const LENGTH_MAX: u64 = 16 << 20;
-/// Entries applied since the last snapshot, and their bytes, from which on another is worth taking.
-const WORTH_ENTRIES: u64 = 400;
-const WORTH_BYTES: usize = 2 << 20;
-/// A follower counts as live this long after it was heard last: the log keeps what it lacks, within bounds.
-const LIVE: Duration = Duration::from_secs(2);
-
-/// A snapshot as it travels.
-#[derive(Debug)]
-pub(super) struct EncodedSnapshot {
-    of: SnapshotId,
-    bytes: Vec<u8>,
+/// A snapshot is due after more applied entries than this since the last one.
+const SNAPSHOT_ENTRIES: u64 = 400;
+/// A snapshot is due after more bytes of applied entries than this since the last one.
+const SNAPSHOT_BYTES: usize = 2 << 20;
+/// The log keeps what a follower lacks, within bounds, until it has been silent for this long.
+const LIVE_FOLLOWER_SILENCE: Duration = Duration::from_secs(2);
+
+/// How much of a snapshot a peer has received.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SnapshotProgress {
+    /// Bytes received.
+    pub received_bytes: u64,
+    /// Bytes of the whole snapshot.
+    pub total_bytes: u64,
 }
 
-impl EncodedSnapshot {
-    fn new(snapshot: &Snapshot) -> Option<Rc<Self>> {
-        let bytes = bincode::serde::encode_to_vec(snapshot, bincode::config::standard()).ok()?;
-        let of = SnapshotId {
-            index: snapshot.index,
-            term: snapshot.term,
-            length: bytes.len() as u64,
-            digest: digest(&bytes),
-        };
-        Some(Rc::new(EncodedSnapshot { of, bytes }))
-    }
+/// What the log keeps.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RetainedLog {
+    /// The index of the last entry that the snapshot covers.
+    pub snapshot_index: u64,
+    /// The number of entries kept, including those behind the snapshot.
+    pub entries: usize,
 }
 
-/// A snapshot on its way to a peer.
+/// The fields of [`MessageBody::InstallSnapshot`].
 #[derive(Debug)]
-pub(super) struct SnapshotTransfer {
-    pub of: SnapshotId,
-    whole: Rc<EncodedSnapshot>,
-    /// The peer has all before it.
-    offset: u64,
-    /// The piece at `offset` was sent then.
-    sent: Option<Instant>,
+pub(super) struct SnapshotChunk {
+    pub round: u64,
+    pub snapshot: SnapshotId,
+    pub offset: u64,
+    pub bytes: Vec<u8>,
 }
 
-/// A snapshot that is coming in.
-#[derive(Debug)]
-pub(super) struct IncomingSnapshot {
-    pub of: SnapshotId,
-    bytes: Vec<u8>,
+/// The fields of [`MessageBody::SnapshotResponse`].
+#[derive(Debug, Clone, Copy)]
+pub(super) struct SnapshotResponse {
+    pub round: u64,
+    pub snapshot: SnapshotId,
+    pub offset: u64,
+}
+
+/// What became of a chunk.
+#[derive(Debug, Clone, Copy)]
+enum ChunkOutcome {
+    /// The chunk at this offset is wanted next.
+    Continue { offset: u64 },
+    /// The whole snapshot is installed, or was not needed.
+    Done,
 }
 
+// ---- taking snapshots -----------------------------------------------------------------------
+
 impl Raft {
-    /// Sends the next piece, unless one is on its way.
-    pub(super) fn send_snapshot(&mut self, now: Instant, to: Voter) {
-        let patience = self.parameters.election_timeout * 2;
-        let round = self.leading.round;
-        if self.leading.peers.get(&to.id).is_none_or(|p| p.heard.is_none()) {
-            // Nobody is there to take it yet, as far as is known.
-            return;
-        }
-        // One that is so old that the log does not follow on it any more is of no use.
-        let (base, _) = self.log.base();
-        let of_use = |p: &Progress| p.snapshot_transfer.as_ref().is_some_and(|s| s.of.index >= base);
-        if self.leading.peers.get(&to.id).is_some_and(|p| !of_use(p)) {
-            let Some(whole) = self.packed() else { return };
-            if let Some(peer) = self.leading.peers.get_mut(&to.id) {
-                peer.snapshot_transfer = Some(SnapshotTransfer { of: whole.of, whole, offset: 0, sent: None });
-            }
-        }
-        let Some(snapshot_transfer) = self.leading.peers.get_mut(&to.id).and_then(|p| p.snapshot_transfer.as_mut())
-        else {
-            return;
-        };
-        if snapshot_transfer.sent.is_some_and(|at| now.duration_since(at) < patience) {
+    /// Makes the state that the applied entries led to the snapshot. Some of these entries stay in the log
+    /// for followers that lag a little.
+    pub fn compact(&mut self, state: Vec<u8>) {
+        if self.last_applied == self.log.snapshot().index {
             return;
         }
-        snapshot_transfer.sent = Some(now);
-        let (of, offset) = (snapshot_transfer.of, snapshot_transfer.offset);
-        let from = (offset as usize).min(snapshot_transfer.whole.bytes.len());
-        let bytes =
-            snapshot_transfer.whole.bytes[from..].iter().take(self.parameters.snapshot_chunk_bytes).copied().collect();
-        self.send(to, MessageBody::InstallSnapshot { round, of, offset, bytes });
+        self.log.compact(self.last_applied, state);
+        self.encoded_snapshot = None;
+        self.bytes_since_snapshot = 0;
+        let trim = self.log.trim(self.parameters.retained_entries, self.slowest_live_follower());
+        let snapshot = Some(self.log.snapshot().clone());
+        self.write(Write { snapshot, trim, ..Write::default() });
     }
 
-    /// The newest snapshot as it travels, made when somebody first wants it.
-    fn packed(&mut self) -> Option<Rc<EncodedSnapshot>> {
-        let snapshot = &self.log.snapshot;
-        if self.packed.as_ref().is_none_or(|p| p.of.index != snapshot.index) {
-            self.packed = EncodedSnapshot::new(snapshot);
-        }
-        self.packed.clone()
+    /// The index after which the slowest live follower needs the log.
+    fn slowest_live_follower(&self) -> Option<u64> {
+        let peers = self.leader_state.peers.values();
+        let live = peers.filter(|peer| peer.responded_within(self.clock, LIVE_FOLLOWER_SILENCE));
+        live.map(|peer| peer.needs_log_after()).min()
     }
 
-    /// A peer has so much of the snapshot.
-    pub(super) fn snapshot_taken(&mut self, now: Instant, from: Voter, round: u64, of: SnapshotId, offset: u64) {
-        let Some(peer) = self.leading.peers.get_mut(&from.id) else { return };
-        peer.heard = Some(now);
-        peer.round = peer.round.max(round);
-        if let Some(snapshot_transfer) = peer.snapshot_transfer.as_mut().filter(|s| s.of == of && s.offset != offset) {
-            snapshot_transfer.offset = offset.min(of.length);
-            snapshot_transfer.sent = None;
-            self.send_snapshot(now, from);
+    /// The number of entries that are applied and not covered by the snapshot.
+    pub fn compactable_entries(&self) -> u64 {
+        self.last_applied - self.log.snapshot().index
+    }
+
+    /// Whether enough was applied since the last snapshot for another one.
+    pub fn is_snapshot_due(&self) -> bool {
+        let entries = self.compactable_entries();
+        entries > SNAPSHOT_ENTRIES || (entries > 0 && self.bytes_since_snapshot > SNAPSHOT_BYTES)
+    }
+
+    /// Sets the first electorate, if there is none. It is fixed before the first election, and written as a
+    /// snapshot of the empty log.
+    pub fn bootstrap(&mut self, voters: Vec<Voter>) {
+        if self.log.last_index() == 0 && self.log.snapshot().electorate.is_empty() {
+            self.log.bootstrap(Electorate::new(voters));
+            let snapshot = Some(self.log.snapshot().clone());
+            self.write(Write { snapshot, ..Write::default() });
         }
     }
 
-    /// A piece has come. Gives how much is here, or `None` when the whole is installed or not wanted.
-    pub(super) fn take_piece(&mut self, of: SnapshotId, offset: u64, bytes: &[u8]) -> Option<u64> {
-        if of.index <= self.commit {
-            return None;
+    /// What the log keeps.
+    pub fn retained_log(&self) -> RetainedLog {
+        RetainedLog { snapshot_index: self.log.snapshot().index, entries: self.log.len() }
+    }
+}
+
+// ---- sending, at the leader -----------------------------------------------------------------
+
+impl Raft {
+    /// Sends a peer the next chunk, unless one is on its way.
+    pub(super) fn send_snapshot(&mut self, now: Instant, to: Voter) {
+        // A peer that never responded may not be there to receive it.
+        if !self.leader_state.peer_satisfies(to.id, |peer| peer.last_response_at.is_some()) {
+            return;
         }
-        if self.incoming.as_ref().is_none_or(|i| i.of != of) {
-            if of.length > LENGTH_MAX {
-                return Some(0);
-            }
-            self.incoming = Some(IncomingSnapshot { of, bytes: Vec::new() });
+        if !self.ensure_transfer(to.id) {
+            return;
         }
-        let incoming = self.incoming.as_mut()?;
-        if offset == incoming.bytes.len() as u64 && (bytes.len() as u64) <= of.length - offset {
-            incoming.bytes.extend_from_slice(bytes);
+        let (round, timeout) = (self.leader_state.round, self.parameters.peer_timeout());
+        let peer = self.leader_state.peers.get_mut(&to.id);
+        let Some(transfer) = peer.and_then(|peer| peer.snapshot_transfer.as_mut()) else { return };
+        if transfer.is_chunk_in_flight(now, timeout) {
+            return;
         }
-        let here = incoming.bytes.len() as u64;
-        if here < of.length {
-            return Some(here);
+        let bytes = transfer.send_chunk(now, self.parameters.snapshot_chunk_bytes);
+        let (snapshot, offset) = (transfer.id(), transfer.offset());
+        self.send(to, MessageBody::InstallSnapshot { round, snapshot, offset, bytes });
+    }
+
+    /// Begins a transfer of the newest snapshot, unless one is under way that the log still continues. False
+    /// if the snapshot cannot be encoded.
+    fn ensure_transfer(&mut self, id: VoterId) -> bool {
+        let base = self.log.base();
+        let is_usable = |transfer: &SnapshotTransfer| transfer.id().index >= base.index;
+        if self.leader_state.peer_satisfies(id, |peer| peer.snapshot_transfer.as_ref().is_some_and(is_usable)) {
+            return true;
         }
-        let whole = self.incoming.take()?;
-        let read = (digest(&whole.bytes) == of.digest)
-            .then(|| bincode::serde::decode_from_slice(&whole.bytes, bincode::config::standard()).ok())
-            .flatten();
-        match read {
-            Some((snapshot, _)) => {
-                self.install(snapshot);
-                None
-            }
-            // Damaged on its way: from the beginning.
-            None => Some(0),
+        let Some(encoded) = self.encode_snapshot() else { return false };
+        if let Some(peer) = self.leader_state.peers.get_mut(&id) {
+            peer.snapshot_transfer = Some(SnapshotTransfer::new(encoded));
         }
+        true
     }
 
-    /// Takes a snapshot that is ahead of what is committed here. Entries behind it that fit it stay:
-    /// this daemon may have told the leader that it holds them.
-    fn install(&mut self, snapshot: Snapshot) {
-        let fits = self.log.install(snapshot.clone());
-        if !fits {
-            self.not_durable_from(self.commit + 1);
+    /// The newest snapshot as it is sent, encoded when it is first needed.
+    fn encode_snapshot(&mut self) -> Option<Rc<EncodedSnapshot>> {
+        let snapshot = self.log.snapshot();
+        if self.encoded_snapshot.as_ref().is_none_or(|encoded| encoded.id.index != snapshot.index) {
+            self.encoded_snapshot = EncodedSnapshot::new(snapshot);
         }
-        (self.commit, self.applied) = (snapshot.index, snapshot.index);
-        self.fresh_bytes = 0;
-        let trim = self.log.trim(self.parameters.retained_entries, None);
-        self.write(Write { reset: !fits, trim, snapshot: Some(snapshot.clone()), ..Write::default() });
-        self.out.push(Effect::Restore(snapshot));
+        self.encoded_snapshot.clone()
     }
 
-    /// Puts the state that the applied entries led to in their place; some of them stay in the log for those
-    /// who are a little behind.
-    pub fn compact(&mut self, state: Vec<u8>) {
-        if self.applied == self.log.snapshot.index {
-            return;
+    /// A peer reports how much of a snapshot it has received.
+    pub(super) fn on_snapshot_response(&mut self, now: Instant, from: Voter, response: SnapshotResponse) {
+        let SnapshotResponse { round, snapshot, offset } = response;
+        let Some(peer) = self.leader_state.peers.get_mut(&from.id) else { return };
+        peer.record_response(now, round);
+        let transfer = peer.snapshot_transfer.as_mut();
+        if transfer.is_some_and(|transfer| transfer.on_response(snapshot, offset)) {
+            self.send_snapshot(now, from);
         }
-        self.log.compact(self.applied, state);
-        self.packed = None;
-        self.fresh_bytes = 0;
-        let trim = self.log.trim(self.parameters.retained_entries, self.wanted());
-        let snapshot = Some(self.log.snapshot.clone());
-        self.write(Write { snapshot, trim, ..Write::default() });
     }
 
-    /// The entry after which the slowest live follower wants the log.
-    fn wanted(&self) -> Option<u64> {
-        let live = self.leading.peers.values().filter(|p| p.heard.is_some_and(|h| self.clock.duration_since(h) < LIVE));
-        live.map(|p| p.snapshot_transfer.as_ref().map_or(p.matched, |s| s.of.index)).min()
+    /// How much of a snapshot a peer has received, while one is being sent to it.
+    pub fn snapshot_progress(&self, id: VoterId) -> Option<SnapshotProgress> {
+        let transfer = self.leader_state.peers.get(&id)?.snapshot_transfer.as_ref()?;
+        Some(SnapshotProgress { received_bytes: transfer.offset(), total_bytes: transfer.id().length })
     }
+}
 
-    /// Entries that are applied and not in the snapshot.
-    pub fn compactable(&self) -> u64 {
-        self.applied - self.log.snapshot.index
-    }
+// ---- receiving, at a follower ---------------------------------------------------------------
 
-    /// Whether enough was applied since the last snapshot for another.
-    pub fn wants_snapshot(&self) -> bool {
-        self.compactable() > WORTH_ENTRIES || (self.compactable() > 0 && self.fresh_bytes > WORTH_BYTES)
+impl Raft {
+    /// Handles a chunk from the current leader.
+    pub(super) fn on_install_snapshot(&mut self, now: Instant, leader: Voter, chunk: SnapshotChunk) {
+        self.on_leader_contact(now, leader);
+        let SnapshotChunk { round, snapshot, .. } = chunk;
+        match self.receive_chunk(chunk) {
+            ChunkOutcome::Continue { offset } => {
+                self.send(leader, MessageBody::SnapshotResponse { round, snapshot, offset })
+            }
+            ChunkOutcome::Done => self.send_append_response(leader, round, true, self.commit_index),
+        }
     }
 
-    /// The very first electorate, fixed before the first election and written with the identity.
-    pub fn bootstrap(&mut self, voters: Vec<Voter>) {
-        if self.log.last_index() == 0 && self.log.snapshot.electorate.is_empty() {
-            self.log.found(crate::version::electorate::Electorate::of(voters));
-            let snapshot = Some(self.log.snapshot.clone());
-            self.write(Write { snapshot, ..Write::default() });
+    fn receive_chunk(&mut self, chunk: SnapshotChunk) -> ChunkOutcome {
+        let id = chunk.snapshot;
+        if id.index <= self.commit_index {
+            return ChunkOutcome::Done;
+        }
+        let mut incoming = match self.incoming_snapshot.take_if(|incoming| incoming.id == id) {
+            Some(incoming) => incoming,
+            None => match IncomingSnapshot::new(id) {
+                Some(incoming) => incoming,
+                None => return ChunkOutcome::Continue { offset: 0 },
+            },
+        };
+        incoming.receive(chunk.offset, &chunk.bytes);
+        if !incoming.is_complete() {
+            let offset = incoming.received();
+            self.incoming_snapshot = Some(incoming);
+            return ChunkOutcome::Continue { offset };
+        }
+        self.incoming_snapshot = None;
+        match incoming.decode() {
+            Some(snapshot) => {
+                self.install_snapshot(snapshot);
+                ChunkOutcome::Done
+            }
+            // Damaged on its way: start over.
+            None => ChunkOutcome::Continue { offset: 0 },
         }
     }
 
-    /// How much of a snapshot a peer has, in bytes: so much, of so much.
-    pub fn snapshot_progress(&self, id: VoterId) -> Option<(u64, u64)> {
-        let snapshot_transfer = self.leading.peers.get(&id)?.snapshot_transfer.as_ref()?;
-        Some((snapshot_transfer.offset, snapshot_transfer.of.length))
+    /// Installs a snapshot that ends beyond the commit index. If the log matches it, the entries after it
+    /// stay: this daemon may have acknowledged them to the leader.
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let matches = self.log.install_snapshot(snapshot.clone());
+        if !matches {
+            self.durability.truncate(self.commit_index + 1);
+        }
+        self.commit_snapshot(snapshot.index);
+        let trim = self.log.trim(self.parameters.retained_entries, None);
+        self.write(Write { reset: !matches, trim, snapshot: Some(snapshot.clone()), ..Write::default() });
+        self.effects.push(Effect::Restore(snapshot));
     }
 }
--- a/engine/src/process/controller/applied_log.rs
+++ b/engine/src/process/controller/applied_log.rs
@@ -14,20 +14,20 @@
     /// Takes what the parts want done, until they want nothing more.
     pub(super) fn turn(&mut self, now: Instant) {
         loop {
-            let effects = self.raft.effects();
+            let effects = self.raft.take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
-                    consensus::Effect::Write(number, write) => self.pending.push_back(Effect::Write(number, write)),
-                    consensus::Effect::Send(to, message, after) => {
+                    consensus::Effect::Write { number, write } => self.pending.push_back(Effect::Write(number, write)),
+                    consensus::Effect::Send { to, message, after } => {
                         self.pending.push_back(Effect::Send(to, PeerMessage::Raft(message), after))
                     }
                     consensus::Effect::Restore(snapshot) => self.restore(&snapshot),
-                    consensus::Effect::Apply(index, entry) => self.apply(now, index, &entry),
-                    consensus::Effect::Readable(read) => self.readable(read),
-                    consensus::Effect::Unreadable(read) => self.unreadable(read),
+                    consensus::Effect::Apply { index, entry } => self.apply(now, index, &entry),
+                    consensus::Effect::ReadReady(read) => self.readable(read),
+                    consensus::Effect::ReadFailed(read) => self.unreadable(read),
                 }
             }
         }
@@ -37,7 +37,7 @@
             self.pending.push_back(Effect::Log(format!("no longer leading; term {}", self.raft.term())));
         }
         if self.was != Role::Leader && role == Role::Leader {
-            let took = self.raft.elections.last().map_or(0, |d| d.as_millis());
+            let took = self.raft.election_durations.last().map_or(0, |d| d.as_millis());
             self.pending.push_back(Effect::Log(format!("leading term {} after {took} ms", self.raft.term())));
         }
         self.was = role;
@@ -47,7 +47,7 @@
             self.told = leader;
             self.proposals.values_mut().for_each(|p| p.due = now);
         }
-        if self.raft.wants_snapshot() {
+        if self.raft.is_snapshot_due() {
             let state =
                 bincode::serde::encode_to_vec(&self.control_state, bincode::config::standard()).unwrap_or_default();
             if !state.is_empty() {
--- a/engine/src/process/controller/mod.rs
+++ b/engine/src/process/controller/mod.rs
@@ -190,7 +190,7 @@
 
     /// Whether this daemon, told to leave, is not needed any more.
     pub fn may_end(&self) -> bool {
-        self.raft.may_end()
+        self.raft.may_shut_down()
     }
 
     pub fn health_check_finished(&mut self, now: Instant, token: u64, result: HealthCheckResult) {
@@ -248,7 +248,7 @@
             let lost = self.raft.leader().is_none() && !self.raft.voters().is_empty();
             if outside || lost {
                 for to in self.others() {
-                    self.raft.join(to, self.in_quorum);
+                    self.raft.request_to_join(to, self.in_quorum);
                 }
             }
         }
--- a/engine/src/process/controller/status.rs
+++ b/engine/src/process/controller/status.rs
@@ -36,7 +36,7 @@
             "leader-control": leader.and_then(|l| self.control_of(l.ip)).map(|a| a.to_string()),
             "in-contact": self.has_quorum_contact(now),
             "contact-age-ms": self.raft.last_quorum_contact().map(|at| now.duration_since(at).as_millis() as u64),
-            "commit": self.raft.commit(),
+            "commit": self.raft.commit_index(),
             "last": self.raft.last_index(),
             "voters": self.raft.voters().iter().map(|v| v.ip.to_string()).collect::<Vec<_>>(),
             "config-revision": self.control_state.revision(),
--- a/engine/src/version/control_state/mod.rs
+++ b/engine/src/version/control_state/mod.rs
@@ -327,7 +327,7 @@
                 }
             }
             Command::ChangeElectorate { electorate } => {
-                self.voters = electorate.all();
+                self.voters = electorate.all_voters();
                 self.note("q/".to_owned());
             }
         }
--- a/engine/tests/cluster/mod.rs
+++ b/engine/tests/cluster/mod.rs
@@ -176,28 +176,28 @@
         let node = &mut self.nodes[n];
         let Some(raft) = &mut node.raft else { return };
         loop {
-            let effects = raft.effects();
+            let effects = raft.take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
-                    Effect::Write(number, write) => node.writes.push_back((number, write)),
-                    Effect::Send(to, message, after) => node.held.push((after, to, message)),
+                    Effect::Write { number, write } => node.writes.push_back((number, write)),
+                    Effect::Send { to, message, after } => node.held.push((after, to, message)),
                     Effect::Restore(snapshot) => {
                         let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
                         node.control_state = read.expect("a whole state").0;
                     }
-                    Effect::Apply(index, entry) => {
+                    Effect::Apply { index, entry } => {
                         let outcome = node.control_state.apply(index, entry.proposal_id, &entry.command);
                         if entry.proposal_id.proposer == 1 {
                             node.decided.insert(entry.proposal_id.serial, outcome);
                         }
                     }
-                    Effect::Readable(_) | Effect::Unreadable(_) => {}
+                    Effect::ReadReady(_) | Effect::ReadFailed(_) => {}
                 }
             }
-            if raft.wants_snapshot() {
+            if raft.is_snapshot_due() {
                 let state = bincode::serde::encode_to_vec(&node.control_state, bincode::config::standard());
                 raft.compact(state.expect("it can be written"));
             }
@@ -297,7 +297,7 @@
                 self.after(JOIN, Event::Join(n, incarnation));
                 if !self.raft(n).is_voter() {
                     for other in (0..self.nodes.len()).filter(|o| *o != n) {
-                        self.raft(n).join(address(other), true);
+                        self.raft(n).request_to_join(address(other), true);
                     }
                     self.drain(n);
                 }
@@ -307,5 +307,6 @@
 }
 
 fn size(write: &Write) -> usize {
-    write.entries.iter().map(|(_, e)| e.size()).sum::<usize>() + write.snapshot.as_ref().map_or(0, |s| s.state.len())
+    write.entries.iter().map(|indexed| indexed.entry.size()).sum::<usize>()
+        + write.snapshot.as_ref().map_or(0, |s| s.state.len())
 }
--- a/engine/tests/golden/messages.rs
+++ b/engine/tests/golden/messages.rs
@@ -105,7 +105,7 @@
 }
 
 fn bodies() -> Vec<MessageBody> {
-    let of = SnapshotId { index: 901, term: 902, length: 903, digest: u64::MAX - 904 };
+    let snapshot = SnapshotId { index: 901, term: 902, length: 903, digest: u64::MAX - 904 };
     let entry = |(at, command)| Entry { term: 70 + at as u64, proposal_id: mark(80 + 2 * at as u64), command };
     vec![
         MessageBody::PreVote { last_index: 11, last_term: 12 },
@@ -117,14 +117,14 @@
             prev_index: 22,
             prev_term: 23,
             entries: commands().into_iter().take(3).enumerate().map(entry).collect(),
-            commit: 24,
-            echo: u32::MAX - 25,
-            confirmed: 26,
+            leader_commit: 24,
+            echoed_nonce: u32::MAX - 25,
+            confirmed_round: 26,
         },
         MessageBody::AppendResponse { round: 31, success: true, index: 32, nonce: 33 },
         MessageBody::StaleTerm,
-        MessageBody::InstallSnapshot { round: 41, of, offset: 42, bytes: vec![43, 44, 45] },
-        MessageBody::SnapshotResponse { round: 51, of, offset: 52 },
+        MessageBody::InstallSnapshot { round: 41, snapshot, offset: 42, bytes: vec![43, 44, 45] },
+        MessageBody::SnapshotResponse { round: 51, snapshot, offset: 52 },
         MessageBody::Join { voter: true },
         MessageBody::TimeoutNow,
         MessageBody::Leave,
--- a/engine/tests/log_compaction.rs
+++ b/engine/tests/log_compaction.rs
@@ -44,7 +44,7 @@
     }
     cluster.run(ms(300));
     let leader = cluster.leader().expect("a leader");
-    assert!(cluster.raft(leader).retained_log().0 > 390, "a snapshot was taken meanwhile");
+    assert!(cluster.raft(leader).retained_log().snapshot_index > 390, "a snapshot was taken meanwhile");
     cluster.cut.clear();
     cluster.entries.clear();
     assert!(cluster.until(ms(1000), |c| level(c, behind)));
@@ -93,7 +93,7 @@
         if admitted.is_none() && voters(&cluster).contains(&103) {
             admitted = Some(revision);
         }
-        let (_, entries) = cluster.leader().map(|l| cluster.raft(l).retained_log()).expect("a leader");
+        let entries = cluster.leader().map(|l| cluster.raft(l).retained_log().entries).expect("a leader");
         assert!(entries < 80, "{entries} entries kept of 256 KB each");
     }
     // It came at 30, 2.4 s and fewer than 30 changes later it votes.
@@ -161,7 +161,7 @@
         if step > 50 && successor.is_none() && cluster.leader().is_some_and(|l| l != old) {
             successor = Some(now);
         }
-        if step > 50 && ended.is_none() && cluster.raft(old).may_end() {
+        if step > 50 && ended.is_none() && cluster.raft(old).may_shut_down() {
             ended = Some((step, voters(&cluster)));
             cluster.stop(old);
         }
@@ -184,7 +184,10 @@
     cluster.run(T * 5);
     for n in 0..3 {
         cluster.leave(n);
-        assert!(cluster.until(ms(1000), |c| c.nodes[n].raft.as_ref().is_some_and(|r| r.may_end())), "{n} may end");
+        assert!(
+            cluster.until(ms(1000), |c| c.nodes[n].raft.as_ref().is_some_and(|r| r.may_shut_down())),
+            "{n} may end"
+        );
         cluster.stop(n);
         cluster.run(ms(100));
         cluster.start(n);
--- a/engine/tests/model/judge.rs
+++ b/engine/tests/model/judge.rs
@@ -5,7 +5,7 @@
 use super::node::encode;
 use super::schedule::Slot;
 use lichenfield_engine::digest::digest;
-use lichenfield_engine::process::consensus::{Entry, PersistentState, Role, Snapshot, Write};
+use lichenfield_engine::process::consensus::{Entry, IndexedEntry, PersistentState, Role, Snapshot, Write};
 use lichenfield_engine::version::control_state::{Command, ControlState, Outcome};
 use lichenfield_engine::version::electorate::{Electorate, VoterId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -123,7 +123,7 @@
 
 /// Whether a majority of one can miss every majority of the other.
 fn disjoint(one: &Electorate, other: &Electorate) -> bool {
-    let mut all: Vec<VoterId> = one.all().iter().chain(&other.all()).map(|v| v.id).collect();
+    let mut all: Vec<VoterId> = one.all_voters().iter().chain(&other.all_voters()).map(|v| v.id).collect();
     all.sort_unstable();
     all.dedup();
     let among = |set: u32, id: VoterId| all.binary_search(&id).is_ok_and(|at| set >> at & 1 == 1);
@@ -176,7 +176,7 @@
     /// A controller wrote; `memory` is its log with the write in it.
     pub fn wrote(&mut self, memory: &PersistentState, write: &Write) -> RequestError {
         self.counts.truncated += usize::from(write.truncate.is_some());
-        for (index, _) in &write.entries {
+        for IndexedEntry { index, .. } in &write.entries {
             let Some(entry) = memory.entry(*index) else { continue };
             let before = memory.term_at(index - 1);
             let (known, known_before) =
@@ -357,7 +357,7 @@
         }
         let before = memory.electorate_before(index);
         let long = self.committed_at.iter().take_while(|t| **t + ADMITTED_WHILE <= now).count() as u64;
-        for new in electorate.all().iter().filter(|v| !before.has(v.id)) {
+        for new in electorate.all_voters().iter().filter(|v| !before.contains(v.id)) {
             let Some(held) = disks.iter().find(|h| h.disk.id() == new.id) else { continue };
             if held.disk.synced.last() + ADMITTED_LACKS < long {
                 let what = format!("{} holds {} where {long} was long committed", new.ip, held.disk.synced.last());
@@ -467,5 +467,5 @@
     let electorate = log.electorate().1;
     let (term, last) = (log.last_term(), log.last());
     let votes: BTreeSet<VoterId> = others.filter(|s| s.yields_to(term, last)).map(|s| s.id).collect();
-    electorate.has(log.id) && electorate.has_majority(|id| votes.contains(&id))
+    electorate.contains(log.id) && electorate.has_majority(|id| votes.contains(&id))
 }
--- a/engine/tests/model/node.rs
+++ b/engine/tests/model/node.rs
@@ -101,9 +101,9 @@
     /// Takes what the log wants done, until it wants nothing more, and compacts it.
     pub fn turn(&mut self) -> Vec<Out> {
         loop {
-            let effects = self.raft.effects();
+            let effects = self.raft.take_effects();
             if effects.is_empty() {
-                if self.raft.compactable() <= self.log_kept {
+                if self.raft.compactable_entries() <= self.log_kept {
                     return std::mem::take(&mut self.out);
                 }
                 let state = encode(&self.control_state);
@@ -118,8 +118,8 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Write(number, write) => self.out.push(Out::Write(number, write)),
-            Effect::Send(to, message, after) => self.out.push(Out::Send(to, Wire::Raft(message), after)),
+            Effect::Write { number, write } => self.out.push(Out::Write(number, write)),
+            Effect::Send { to, message, after } => self.out.push(Out::Send(to, Wire::Raft(message), after)),
             Effect::Restore(snapshot) => {
                 if !snapshot.state.is_empty() {
                     let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
@@ -127,7 +127,7 @@
                 }
                 self.out.push(Out::Restored(snapshot));
             }
-            Effect::Apply(index, entry) => {
+            Effect::Apply { index, entry } => {
                 let outcome = self.control_state.apply(index, entry.proposal_id, &entry.command);
                 let mark = entry.proposal_id;
                 self.out.push(Out::Applied(index, entry, outcome.clone()));
@@ -135,12 +135,12 @@
                     self.decided(mark, &outcome);
                 }
             }
-            Effect::Readable(token) => {
+            Effect::ReadReady(token) => {
                 if let Some(call) = self.reads.remove(&token) {
                     self.out.push(Out::Answer(call, Answer::Read(self.control_state.config.clone())));
                 }
             }
-            Effect::Unreadable(token) => {
+            Effect::ReadFailed(token) => {
                 if let Some(call) = self.reads.remove(&token) {
                     self.out.push(Out::Answer(call, Answer::Unclear));
                 }
@@ -173,7 +173,7 @@
             self.join_due = now + JOIN;
             if self.wants_to_join() {
                 for to in others {
-                    self.raft.join(*to, self.in_quorum);
+                    self.raft.request_to_join(*to, self.in_quorum);
                 }
             }
         }
--- a/engine/tests/model/world.rs
+++ b/engine/tests/model/world.rs
@@ -167,7 +167,7 @@
         let founders = self.machines.iter().take(SEEDS).map(|m| Voter { id: m.disk.id(), ip: m.ip });
         self.founders = founders.collect();
         self.founders.sort_unstable();
-        self.judge.founded(Electorate::of(self.founders.clone()));
+        self.judge.founded(Electorate::new(self.founders.clone()));
         for slot in 0..self.machines.len() {
             // All start within 0.3 s of each other.
             let lot = mix(&[self.schedule.seed, 5, slot as u64]) % 300;
@@ -278,7 +278,7 @@
                 raft.term(),
                 raft.last_index(),
                 machine.disk.synced.last(),
-                raft.commit()
+                raft.commit_index()
             );
         }
     }
@@ -391,8 +391,10 @@
                 Out::Write(number, write) => {
                     wrote = true;
                     let leads = self.leads(slot);
-                    let changes =
-                        write.entries.iter().any(|(_, e)| matches!(e.command, Command::ChangeElectorate { .. }));
+                    let changes = write
+                        .entries
+                        .iter()
+                        .any(|indexed| matches!(indexed.entry.command, Command::ChangeElectorate { .. }));
                     let snapshot = write.snapshot.as_ref().is_some_and(|s| s.index > 0);
                     let disk = &mut self.machines[slot].disk;
                     if !disk.write(number, write.clone()) {
@@ -717,7 +719,7 @@
     fn leaves(&mut self, slot: Slot, by: Duration, back: Option<Duration>) -> RequestError {
         let machine = &self.machines[slot];
         let incarnation = machine.incarnation;
-        if self.now < by && raft(machine).is_some_and(|r| !r.may_end()) {
+        if self.now < by && raft(machine).is_some_and(|r| !r.may_shut_down()) {
             self.after(LOOK, Event::Leaves(slot, incarnation, by, back));
             return Ok(());
         }
@@ -856,7 +858,7 @@
         incarnation: machine.incarnation,
         role: node.raft.role(),
         term: node.raft.term(),
-        commit: node.raft.commit(),
+        commit: node.raft.commit_index(),
         electorate: node.raft.electorate(),
         confirmed: node.raft.is_confirmed_leader(now),
         current: node.raft.has_had_quorum_contact(),
--- a/engine/tests/model/written_schedules.rs
+++ b/engine/tests/model/written_schedules.rs
@@ -36,15 +36,15 @@
     /// Writes are durable at once.
     fn settle(&mut self, at: usize) {
         loop {
-            let effects = self.controllers[at].effects();
+            let effects = self.controllers[at].take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 match effect {
-                    Effect::Write(number, _) => self.controllers[at].on_write_durable(self.now, number),
-                    Effect::Send(_, message, _) => self.sent.push(message),
-                    Effect::Readable(token) => self.readable.push(token),
+                    Effect::Write { number, .. } => self.controllers[at].on_write_durable(self.now, number),
+                    Effect::Send { message, .. } => self.sent.push(message),
+                    Effect::ReadReady(token) => self.readable.push(token),
                     _ => {}
                 }
             }
