--- a/engine/tests/cluster/mod.rs
+++ b/engine/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A few controllers' logs on simulated time: links that keep order, disks that take their time.
+//! The consensus of a few controllers in simulated time, with links that keep order and disks that take time.
 
 use lichenfield_engine::process::consensus::{
-    Effect, Message, MessageBody, Parameters, PersistentState, Raft, Role, Write,
+    Effect, Message, MessageBody, Parameters, PersistentState, Raft, Role, Write, WriteNumber,
 };
 use lichenfield_engine::version::control_state::{Command, ControlState, Outcome, ProposalId};
 use lichenfield_engine::version::electorate::Voter;
@@ -11,36 +11,104 @@
 use std::time::{Duration, Instant};
 
 pub const T: Duration = Duration::from_millis(150);
-const LINK: Duration = Duration::from_millis(1);
-const JOIN: Duration = Duration::from_millis(300);
+const LINK_DELAY: Duration = Duration::from_millis(1);
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 enum Event {
-    Message(usize, Message),
-    Synced(usize, u32),
-    Tick(usize, u32),
-    Join(usize, u32),
+    Message { node: usize, message: Message },
+    Synced { node: usize, incarnation: u32 },
+    Tick { node: usize, incarnation: u32 },
+    Join { node: usize, incarnation: u32 },
+}
+
+/// A message that waits for a write.
+struct UnsentMessage {
+    after: WriteNumber,
+    to: Ipv4Addr,
+    message: Message,
+}
+
+/// What was sent of snapshots.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+pub struct SnapshotTraffic {
+    pub bytes: usize,
+    pub messages: usize,
 }
 
 pub struct Node {
     pub raft: Option<Raft>,
     pub disk: PersistentState,
     pub control_state: ControlState,
-    /// What a sync takes, and what writing a KB takes besides.
+    /// The duration of a sync, and that of each KB written in addition.
     pub sync: Duration,
     pub per_kb: Duration,
     incarnation: u32,
-    writes: VecDeque<(u64, Write)>,
+    writes: VecDeque<(WriteNumber, Write)>,
     syncing: usize,
-    durable: u64,
-    held: Vec<(u64, Ipv4Addr, Message)>,
-    /// Marks decided here, with how.
+    durable: WriteNumber,
+    unsent: Vec<UnsentMessage>,
+    /// The outcomes of the proposals applied here, by serial number.
     pub decided: BTreeMap<u64, Outcome>,
 }
 
+impl Node {
+    /// Performs the effects of the log until there are none; returns the messages that may be sent, or
+    /// `None` if the node does not run.
+    fn perform_effects(&mut self) -> Option<Vec<(Ipv4Addr, Message)>> {
+        loop {
+            let effects = self.raft.as_mut()?.take_effects();
+            if effects.is_empty() {
+                break;
+            }
+            for effect in effects {
+                self.perform(effect);
+            }
+            let raft = self.raft.as_mut()?;
+            if raft.is_snapshot_due() {
+                let state = bincode::serde::encode_to_vec(&self.control_state, bincode::config::standard());
+                raft.compact(state.expect("a control state can be encoded"));
+            }
+        }
+        let durable = self.durable;
+        let (ready, unsent): (Vec<UnsentMessage>, _) =
+            self.unsent.drain(..).partition(|unsent| unsent.after <= durable);
+        self.unsent = unsent;
+        Some(ready.into_iter().map(|ready| (ready.to, ready.message)).collect())
+    }
+
+    fn perform(&mut self, effect: Effect) {
+        match effect {
+            Effect::Write { number, write } => self.writes.push_back((number, write)),
+            Effect::Send { to, message, after } => self.unsent.push(UnsentMessage { after, to, message }),
+            Effect::Restore(snapshot) => {
+                let decoded = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
+                self.control_state = decoded.expect("a whole state").0;
+            }
+            Effect::Apply { index, entry } => {
+                let outcome = self.control_state.apply(index, entry.proposal_id, &entry.command);
+                if entry.proposal_id.proposer == 1 {
+                    self.decided.insert(entry.proposal_id.serial, outcome);
+                }
+            }
+            Effect::ReadReady(_) | Effect::ReadFailed(_) => {}
+        }
+    }
+
+    /// Begins a sync of all waiting writes and returns its duration, unless there are none or one is under way.
+    fn begin_sync(&mut self) -> Option<Duration> {
+        if self.syncing > 0 || self.writes.is_empty() {
+            return None;
+        }
+        self.syncing = self.writes.len();
+        let bytes: usize = self.writes.iter().map(|(_, write)| size(write)).sum();
+        Some(self.sync + self.per_kb * (bytes / 1024) as u32)
+    }
+}
+
 pub struct Cluster {
     pub now: Duration,
     base: Instant,
@@ -51,10 +119,10 @@
     next: u64,
     rng: fastrand::Rng,
     pub cut: Vec<usize>,
-    /// Of the messages, this share is lost.
+    /// The share of messages that is lost.
     pub loss: f64,
-    /// Bytes of state and number of messages sent as snapshots, and as entries, to each node.
-    pub pieces: BTreeMap<usize, (usize, usize)>,
+    /// The chunks of snapshots, and the number of entries, sent to each node.
+    pub snapshot_chunks: BTreeMap<usize, SnapshotTraffic>,
     pub entries: BTreeMap<usize, usize>,
 }
 
@@ -63,7 +131,7 @@
 }
 
 impl Cluster {
-    /// `founders` of `size` machines found the electorate; the others are off.
+    /// The first `founders` of `size` machines form the first electorate; the others are off.
     pub fn new(size: usize, founders: usize, tolerance: usize) -> Self {
         let disk = |n: usize| PersistentState { id: 100 + n as u64, ..PersistentState::default() };
         let node = |n| Node {
@@ -76,7 +144,7 @@
             writes: VecDeque::new(),
             syncing: 0,
             durable: 0,
-            held: Vec::new(),
+            unsent: Vec::new(),
             decided: BTreeMap::new(),
         };
         let mut cluster = Cluster {
@@ -90,20 +158,20 @@
             rng: fastrand::Rng::with_seed(7),
             cut: Vec::new(),
             loss: 0.0,
-            pieces: BTreeMap::new(),
+            snapshot_chunks: BTreeMap::new(),
             entries: BTreeMap::new(),
         };
         let voters: Vec<Voter> = (0..founders).map(|n| Voter { id: 100 + n as u64, ip: address(n) }).collect();
         for n in 0..founders {
             cluster.start(n);
             cluster.raft(n).bootstrap(voters.clone());
-            cluster.drain(n);
+            cluster.step(n);
         }
         cluster
     }
 
     pub fn raft(&mut self, n: usize) -> &mut Raft {
-        self.nodes[n].raft.as_mut().expect("it runs")
+        self.nodes[n].raft.as_mut().expect("the node runs")
     }
 
     pub fn at(&self) -> Instant {
@@ -124,20 +192,20 @@
         node.incarnation += 1;
         (node.control_state, node.durable, node.syncing) = (ControlState::default(), 0, 0);
         let incarnation = node.incarnation;
-        self.after(JOIN, Event::Join(n, incarnation));
-        self.drain(n);
+        self.after(JOIN_INTERVAL, Event::Join { node: n, incarnation });
+        self.step(n);
     }
 
-    /// Its power is lost, and with it what was not synced.
+    /// The node loses power, and with it what was not synced.
     pub fn stop(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.raft = None;
         node.incarnation += 1;
         node.writes.clear();
-        node.held.clear();
+        node.unsent.clear();
     }
 
-    /// Back at the old address with an empty disk.
+    /// The node is back at its address with an empty disk.
     pub fn wipe(&mut self, n: usize) {
         self.stop(n);
         let id = self.nodes[n].disk.id + 1000;
@@ -151,88 +219,55 @@
         all.filter_map(|(at, n)| leads(n).map(|term| (term, at))).max().map(|(_, at)| at)
     }
 
-    /// Proposes at the leader; whether it was taken.
+    /// Proposes at the leader; whether it was appended.
     pub fn propose(&mut self, serial: u64, command: Command) -> bool {
         let Some(leader) = self.leader() else { return false };
         let now = self.at();
         let taken = self.raft(leader).propose(now, ProposalId { proposer: 1, serial }, command).is_some();
-        self.drain(leader);
+        self.step(leader);
         taken
     }
 
-    /// Whether a proposal is decided at the leader.
+    /// Whether a proposal is applied at the leader.
     pub fn decided(&self, serial: u64) -> bool {
         self.leader().is_some_and(|l| self.nodes[l].control_state.result(ProposalId { proposer: 1, serial }).is_some())
     }
 
-    pub fn leave(&mut self, n: usize) {
+    pub fn begin_shutdown(&mut self, n: usize) {
         let now = self.at();
         self.raft(n).begin_shutdown(now);
-        self.drain(n);
+        self.step(n);
     }
 
-    pub fn drain(&mut self, n: usize) {
-        let mut sends = Vec::new();
+    /// Performs the effects of a node's log until there are none, sends what may be sent, and schedules its
+    /// next sync and tick.
+    pub fn step(&mut self, n: usize) {
+        let Some(sends) = self.nodes[n].perform_effects() else { return };
+        let due = self.raft(n).next_due();
         let node = &mut self.nodes[n];
-        let Some(raft) = &mut node.raft else { return };
-        loop {
-            let effects = raft.take_effects();
-            if effects.is_empty() {
-                break;
-            }
-            for effect in effects {
-                match effect {
-                    Effect::Write { number, write } => node.writes.push_back((number, write)),
-                    Effect::Send { to, message, after } => node.held.push((after, to, message)),
-                    Effect::Restore(snapshot) => {
-                        let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
-                        node.control_state = read.expect("a whole state").0;
-                    }
-                    Effect::Apply { index, entry } => {
-                        let outcome = node.control_state.apply(index, entry.proposal_id, &entry.command);
-                        if entry.proposal_id.proposer == 1 {
-                            node.decided.insert(entry.proposal_id.serial, outcome);
-                        }
-                    }
-                    Effect::ReadReady(_) | Effect::ReadFailed(_) => {}
-                }
-            }
-            if raft.is_snapshot_due() {
-                let state = bincode::serde::encode_to_vec(&node.control_state, bincode::config::standard());
-                raft.compact(state.expect("it can be written"));
-            }
-        }
-        let durable = node.durable;
-        node.held.retain(|(after, to, message)| {
-            let ready = *after <= durable;
-            if ready {
-                sends.push((*to, message.clone()));
-            }
-            !ready
-        });
-        let (incarnation, due) = (node.incarnation, raft.next_due());
-        if node.syncing == 0 && !node.writes.is_empty() {
-            node.syncing = node.writes.len();
-            let bytes: usize = node.writes.iter().map(|(_, w)| size(w)).sum();
-            let takes = node.sync + node.per_kb * (bytes / 1024) as u32;
-            self.after(takes, Event::Synced(n, incarnation));
+        let incarnation = node.incarnation;
+        if let Some(duration) = node.begin_sync() {
+            self.after(duration, Event::Synced { node: n, incarnation });
         }
         let wait = due.saturating_duration_since(self.at()).max(ms(1));
-        self.after(wait, Event::Tick(n, incarnation));
+        self.after(wait, Event::Tick { node: n, incarnation });
         for (to, message) in sends {
-            let to = usize::from(to.octets()[3]) - 1;
-            match &message.body {
-                MessageBody::InstallSnapshot { bytes, .. } => {
-                    let sent = self.pieces.entry(to).or_default();
-                    (sent.0, sent.1) = (sent.0 + bytes.len(), sent.1 + 1);
-                }
-                MessageBody::AppendEntries { entries, .. } => *self.entries.entry(to).or_default() += entries.len(),
-                _ => {}
-            }
-            let lost = self.cut.contains(&n) || self.cut.contains(&to) || self.rng.f64() < self.loss;
-            if !lost {
-                self.after(LINK, Event::Message(to, message));
+            self.send(n, usize::from(to.octets()[3]) - 1, message);
+        }
+    }
+
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        match &message.body {
+            MessageBody::InstallSnapshot { bytes, .. } => {
+                let sent = self.snapshot_chunks.entry(to).or_default();
+                (sent.bytes, sent.messages) = (sent.bytes + bytes.len(), sent.messages + 1);
             }
+            MessageBody::AppendEntries { entries, .. } => *self.entries.entry(to).or_default() += entries.len(),
+            _ => {}
+        }
+        let lost = self.cut.contains(&from) || self.cut.contains(&to) || self.rng.f64() < self.loss;
+        if !lost {
+            self.after(LINK_DELAY, Event::Message { node: to, message });
         }
     }
 
@@ -242,7 +277,7 @@
         self.now = end;
     }
 
-    /// Runs until something holds; whether it did within the span.
+    /// Runs until a condition holds; whether it did within the span.
     pub fn until(&mut self, span: Duration, mut holds: impl FnMut(&Cluster) -> bool) -> bool {
         let end = self.now + span;
         self.run_while(end, |c| !holds(c));
@@ -264,13 +299,13 @@
     fn perform(&mut self, event: Event) {
         let now = self.at();
         match event {
-            Event::Message(n, message) => {
+            Event::Message { node: n, message } => {
                 if let Some(raft) = &mut self.nodes[n].raft {
                     raft.handle_message(now, message);
-                    self.drain(n);
+                    self.step(n);
                 }
             }
-            Event::Synced(n, incarnation) => {
+            Event::Synced { node: n, incarnation } => {
                 let node = &mut self.nodes[n];
                 if node.incarnation != incarnation {
                     return;
@@ -282,24 +317,24 @@
                 node.syncing = 0;
                 let durable = node.durable;
                 self.raft(n).on_write_durable(now, durable);
-                self.drain(n);
+                self.step(n);
             }
-            Event::Tick(n, incarnation) => {
+            Event::Tick { node: n, incarnation } => {
                 if self.nodes[n].incarnation == incarnation && now >= self.raft(n).next_due() {
                     self.raft(n).tick(now);
-                    self.drain(n);
+                    self.step(n);
                 }
             }
-            Event::Join(n, incarnation) => {
+            Event::Join { node: n, incarnation } => {
                 if self.nodes[n].incarnation != incarnation {
                     return;
                 }
-                self.after(JOIN, Event::Join(n, incarnation));
+                self.after(JOIN_INTERVAL, Event::Join { node: n, incarnation });
                 if !self.raft(n).is_voter() {
                     for other in (0..self.nodes.len()).filter(|o| *o != n) {
                         self.raft(n).request_to_join(address(other), true);
                     }
-                    self.drain(n);
+                    self.step(n);
                 }
             }
         }
--- a/engine/tests/log_compaction.rs
+++ b/engine/tests/log_compaction.rs
@@ -1,8 +1,8 @@
-//! The log's parts, each brought about by itself: the tail, snapshots in pieces, newcomers, leaving.
+//! Log compaction and membership: the retained log, snapshots in chunks, learners, shutdown.
 
 mod cluster;
 
-use cluster::{Cluster, T, ms};
+use cluster::{Cluster, SnapshotTraffic, T, ms};
 use lichenfield_engine::version::control_state::Command;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Command::DrainInstance { id: format!("i-{n}") }
 }
 
-/// A configuration of about so many bytes, on top of the version before.
+/// A configuration of about this many bytes, based on the version before.
 fn configuration(revision: u64, bytes: usize) -> Command {
     let key = "k".repeat(bytes);
     let raw = format!(
@@ -24,13 +24,13 @@
     cluster.nodes[leader].raft.as_ref().map(|r| r.voters().iter().map(|v| v.id).collect()).unwrap_or_default()
 }
 
-fn level(cluster: &Cluster, n: usize) -> bool {
+fn caught_up(cluster: &Cluster, n: usize) -> bool {
     let index = |n: usize| cluster.nodes[n].control_state.applied_index;
     cluster.leader().is_some_and(|l| index(l) == index(n))
 }
 
 #[test]
-fn one_that_missed_a_few_entries_around_a_snapshot_gets_only_these() {
+fn a_follower_that_missed_a_few_entries_around_a_snapshot_receives_only_those() {
     let mut cluster = Cluster::new(3, 3, 1);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     let behind = (0..3).find(|n| Some(*n) != cluster.leader()).expect("a follower");
@@ -47,13 +47,13 @@
     assert!(cluster.raft(leader).retained_log().snapshot_index > 390, "a snapshot was taken meanwhile");
     cluster.cut.clear();
     cluster.entries.clear();
-    assert!(cluster.until(ms(1000), |c| level(c, behind)));
-    assert_eq!(cluster.pieces.get(&behind), None, "no snapshot was sent");
+    assert!(cluster.until(ms(1000), |c| caught_up(c, behind)));
+    assert_eq!(cluster.snapshot_chunks.get(&behind), None, "no snapshot was sent");
     assert!(cluster.entries[&behind] < 60, "{} entries for 25", cluster.entries[&behind]);
 }
 
 #[test]
-fn a_snapshot_goes_in_pieces_and_is_not_doubled() {
+fn a_snapshot_is_sent_in_chunks_and_only_once() {
     for loss in [0.0, 0.2] {
         let mut cluster = Cluster::new(4, 3, 1);
         assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
@@ -63,9 +63,9 @@
         }
         cluster.loss = loss;
         cluster.start(3);
-        assert!(cluster.until(Duration::from_secs(10), |c| level(c, 3)), "caught up, with a loss of {loss}");
-        let (bytes, pieces) = cluster.pieces[&3];
-        assert!(pieces >= 9, "{pieces} pieces");
+        assert!(cluster.until(Duration::from_secs(10), |c| caught_up(c, 3)), "caught up, with a loss of {loss}");
+        let SnapshotTraffic { bytes, messages: chunks } = cluster.snapshot_chunks[&3];
+        assert!(chunks >= 9, "{chunks} chunks");
         // One whole configuration; with losses somewhat more.
         assert!(bytes < if loss > 0.0 { 1_300_000 } else { 700_000 }, "{bytes} bytes with a loss of {loss}");
         let leader = cluster.leader().expect("a leader");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_newcomer_with_a_slow_disk_catches_up_in_a_storm_of_large_configurations() {
+fn a_learner_with_a_slow_disk_catches_up_under_a_load_of_large_configurations() {
     let mut cluster = Cluster::new(4, 3, 1);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     let gone = (0..3).find(|n| Some(*n) != cluster.leader()).expect("a follower");
@@ -96,14 +96,14 @@
         let entries = cluster.leader().map(|l| cluster.raft(l).retained_log().entries).expect("a leader");
         assert!(entries < 80, "{entries} entries kept of 256 KB each");
     }
-    // It came at 30, 2.4 s and fewer than 30 changes later it votes.
+    // It started at change 30, and votes fewer than 30 changes (2.4 s) later.
     assert!(admitted.is_some_and(|at| at < 60), "admitted at {admitted:?}");
-    assert!(cluster.until(ms(2000), |c| level(c, 3)));
+    assert!(cluster.until(ms(2000), |c| caught_up(c, 3)));
 }
 
 #[test]
-fn a_wiped_disk_is_replaced_also_where_every_disk_counts() {
-    // Three voters, of which two may be lost at once: what is acknowledged wants all three disks.
+fn a_wiped_disk_is_replaced_even_if_every_disk_is_needed() {
+    // Three voters, of which two may be lost at once: what is acknowledged needs all three disks.
     let mut cluster = Cluster::new(3, 3, 2);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     assert!(cluster.propose(1, drain(1)));
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn a_leader_that_ends_in_a_storm_hands_on_and_leaves_its_place_to_one_that_waits() {
+fn a_leader_that_shuts_down_under_load_transfers_leadership_and_is_replaced_by_the_learner() {
     let mut cluster = Cluster::new(4, 3, 1);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     cluster.start(3);
     cluster.run(ms(1500));
-    assert_eq!(voters(&cluster).len(), 3, "the fourth waits");
+    assert_eq!(voters(&cluster).len(), 3, "the fourth is a learner");
     let old = cluster.leader().expect("a leader");
     let (mut serial, mut successor, mut ended) = (0, None, None);
     for step in 0..200u64 {
@@ -155,7 +155,7 @@
         cluster.propose(serial, drain(serial));
         cluster.run(ms(4));
         if step == 50 {
-            cluster.leave(old);
+            cluster.begin_shutdown(old);
         }
         let now = cluster.now;
         if step > 50 && successor.is_none() && cluster.leader().is_some_and(|l| l != old) {
@@ -168,7 +168,7 @@
     }
     assert!(successor.is_some(), "another leads");
     let (_, then) = ended.expect("it could end within 0.6 s");
-    assert!(then.contains(&103) && !then.contains(&(100 + old as u64)), "in its place votes the fourth: {then:?}");
+    assert!(then.contains(&103) && !then.contains(&(100 + old as u64)), "the fourth has replaced it: {then:?}");
     // A second loss right after it leaves a majority.
     let leader = cluster.leader().expect("a leader");
     cluster.stop(leader);
@@ -178,12 +178,12 @@
 }
 
 #[test]
-fn one_that_restarts_with_nobody_in_its_place_keeps_its_vote() {
+fn a_voter_that_restarts_without_a_replacement_keeps_its_vote() {
     let mut cluster = Cluster::new(3, 3, 1);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     cluster.run(T * 5);
     for n in 0..3 {
-        cluster.leave(n);
+        cluster.begin_shutdown(n);
         assert!(
             cluster.until(ms(1000), |c| c.nodes[n].raft.as_ref().is_some_and(|r| r.may_shut_down())),
             "{n} may end"
@@ -191,14 +191,14 @@
         cluster.stop(n);
         cluster.run(ms(100));
         cluster.start(n);
-        assert!(cluster.until(ms(2000), |c| c.leader().is_some() && level(c, n)));
+        assert!(cluster.until(ms(2000), |c| c.leader().is_some() && caught_up(c, n)));
         cluster.run(T * 5);
         assert_eq!(voters(&cluster), [100, 101, 102]);
     }
 }
 
 #[test]
-fn a_proposal_pushed_again_is_in_the_log_once() {
+fn a_proposal_sent_again_is_appended_once() {
     let mut cluster = Cluster::new(3, 3, 1);
     assert!(cluster.until(ms(2000), |c| c.leader().is_some()));
     cluster.run(ms(500));
--- a/engine/tests/model/disk.rs
+++ b/engine/tests/model/disk.rs
@@ -1,28 +1,28 @@
-//! A controller's disk: what is synced, what is only written, what waits to be written.
+//! A controller's disk: what is synced, and the writes that are not.
 
-use super::schedule::Kept;
+use super::schedule::SurvivingWrites;
 use lichenfield_engine::process::consensus::{Entry, PersistentState, Write};
 use lichenfield_engine::version::control_state::Command;
 use lichenfield_engine::version::electorate::{Electorate, Voter, VoterId};
 use std::collections::VecDeque;
 
-/// Looking into what is stored: the only place that knows how the log and the snapshot lie there.
-pub trait Log {
+/// Reads the stored log; the only place that knows the layout of log and snapshot.
+pub trait StoredLog {
     fn last(&self) -> u64;
     fn last_term(&self) -> u64;
     fn term_at(&self, index: u64) -> Option<u64>;
     fn entry(&self, index: u64) -> Option<&Entry>;
-    /// The newest electorate, committed or not, and where it stands.
+    /// The newest electorate, committed or not, and its index.
     fn electorate(&self) -> (u64, &Electorate);
-    /// The newest before an index.
+    /// The newest electorate before an index.
     fn electorate_before(&self, index: u64) -> &Electorate;
-    /// Whether this log could be that of a voter who votes for one whose log ends so.
-    fn yields_to(&self, last_term: u64, last: u64) -> bool {
+    /// Whether a voter with this log votes for a candidate whose log ends so (Raft §5.4.1).
+    fn would_vote_for(&self, last_term: u64, last: u64) -> bool {
         (last_term, last) >= (self.last_term(), self.last())
     }
 }
 
-impl Log for PersistentState {
+impl StoredLog for PersistentState {
     fn last(&self) -> u64 {
         self.base_index + self.log.len() as u64
     }
@@ -58,11 +58,11 @@
 
 #[derive(Debug)]
 pub struct Disk {
-    /// What no loss of power takes.
+    /// What survives a loss of power.
     pub synced: PersistentState,
-    /// What the controller believes that it has written: its memory.
+    /// What the controller has written, synced or not.
     pub memory: PersistentState,
-    /// Writes that are not synced, and how many of them are with the disk.
+    /// Writes that are not synced, and how many of them the sync under way covers.
     queue: VecDeque<(u64, Write)>,
     with_disk: usize,
     pub syncs: u32,
@@ -77,8 +77,8 @@
         Disk { memory: stored.clone(), synced: stored, queue: VecDeque::new(), with_disk: 0, syncs: 0 }
     }
 
-    /// What is synced, in a line.
-    pub fn told(&self) -> String {
+    /// A one-line description of what is synced.
+    pub fn summary(&self) -> String {
         let (at, electorate) = self.synced.electorate();
         let ids = |voters: &[Voter]| voters.iter().map(|v| format!("{:x}", v.id)).collect::<Vec<_>>().join(" ");
         let (now, before) = (ids(&electorate.voters), ids(&electorate.outgoing));
@@ -97,7 +97,7 @@
         fits
     }
 
-    /// Gives the disk all that waits; true if there was something and the disk was free.
+    /// Begins a sync of all waiting writes; false if there are none or a sync is under way.
     pub fn begin_sync(&mut self) -> bool {
         if self.with_disk > 0 || self.queue.is_empty() {
             return false;
@@ -111,7 +111,7 @@
         self.with_disk > 0
     }
 
-    /// What was with the disk is durable; the number of the last such write.
+    /// Completes the sync under way; returns the number of the last write that it covers.
     pub fn end_sync(&mut self) -> Option<u64> {
         let mut durable = None;
         for (number, write) in self.queue.drain(..self.with_disk) {
@@ -122,12 +122,12 @@
         durable
     }
 
-    /// The process is gone. Whatever the crash left is read and synced before anything rests on it.
-    pub fn crash(&mut self, kept: Kept) {
+    /// The process has crashed. Whatever the crash left is read and synced before anything relies on it.
+    pub fn crash(&mut self, kept: SurvivingWrites) {
         let kept = match kept {
-            Kept::All => self.with_disk,
-            Kept::Nothing => 0,
-            Kept::First(n) => n.min(self.with_disk),
+            SurvivingWrites::All => self.with_disk,
+            SurvivingWrites::Nothing => 0,
+            SurvivingWrites::First(n) => n.min(self.with_disk),
         };
         for (_, write) in self.queue.drain(..).take(kept) {
             self.synced.apply(write);
--- a/engine/tests/model/node.rs
+++ b/engine/tests/model/node.rs
@@ -1,19 +1,21 @@
 //! A controller's process: the real `Raft` and `ControlState`, driven as `Controller` drives them.
 
 use super::network::Wire;
-use lichenfield_engine::process::consensus::{Effect, Entry, Parameters, PersistentState, Raft, Role, Snapshot, Write};
+use lichenfield_engine::process::consensus::{
+    Effect, Entry, Parameters, PersistentState, Raft, Role, Snapshot, Write, WriteNumber,
+};
 use lichenfield_engine::version::control_state::{Command, ConfigVersion, ControlState, Outcome, ProposalId};
 use lichenfield_engine::version::electorate::VoterId;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-/// As in `Controller`.
-const HEARD_TIMER: Duration = Duration::from_millis(150);
+/// The timers are those of `Controller`.
+const RECEIVED_TIMER: Duration = Duration::from_millis(150);
 const DECIDED_TIMER: Duration = Duration::from_millis(900);
-const ANSWER_BY: Duration = Duration::from_millis(4000);
-const JOIN: Duration = Duration::from_millis(300);
-const BREATH: Duration = Duration::from_millis(2);
+const CALL_TIMEOUT: Duration = Duration::from_millis(4000);
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
+const TICK_INTERVAL_MIN: Duration = Duration::from_millis(2);
 
 /// A client's call, by its number.
 pub type Call = usize;
@@ -22,22 +24,37 @@
 pub enum Answer {
     Decided(Outcome),
     Read(Option<ConfigVersion>),
-    /// LeaseRequest there.
+    /// The leader is there; ask it.
     NotLeader(Ipv4Addr),
     Unclear,
 }
 
-/// What a turn led to, in order.
+/// The outputs of a step, in order.
 #[derive(Debug)]
-pub enum Out {
-    Write(u64, Write),
-    /// To be let out once the write with this number is durable.
-    Send(Ipv4Addr, Wire, u64),
+pub enum NodeOutput {
+    Write {
+        number: WriteNumber,
+        write: Write,
+    },
+    /// To be sent once the write with this number is durable.
+    Send {
+        to: Ipv4Addr,
+        wire: Wire,
+        after: WriteNumber,
+    },
     Restored(Snapshot),
-    Applied(u64, Entry, Outcome),
+    Applied(AppliedEntry),
     Answer(Call, Answer),
 }
 
+/// An applied entry, and what the state machine made of it.
+#[derive(Debug)]
+pub struct AppliedEntry {
+    pub index: u64,
+    pub entry: Entry,
+    pub outcome: Outcome,
+}
+
 #[derive(Debug)]
 struct Proposal {
     command: Command,
@@ -52,22 +69,22 @@
     id: VoterId,
     ip: Ipv4Addr,
     in_quorum: bool,
-    log_kept: u64,
+    compact_after: u64,
     proposer: u64,
     serial: u64,
     proposals: BTreeMap<u64, Proposal>,
     reads: BTreeMap<u64, Call>,
     tokens: u64,
     join_due: Instant,
-    out: Vec<Out>,
+    out: Vec<NodeOutput>,
 }
 
-/// How a controller is set up.
+/// The settings of a controller.
 pub struct Setup {
     pub ip: Ipv4Addr,
     pub parameters: Parameters,
     pub in_quorum: bool,
-    pub log_kept: u64,
+    pub compact_after: u64,
     pub rng: fastrand::Rng,
 }
 
@@ -82,7 +99,7 @@
             id,
             ip: setup.ip,
             in_quorum: setup.in_quorum,
-            log_kept: setup.log_kept,
+            compact_after: setup.compact_after,
             proposer,
             serial: 0,
             proposals: BTreeMap::new(),
@@ -93,17 +110,17 @@
         }
     }
 
-    /// The calls that a crash takes with it.
+    /// The calls that a crash leaves unanswered.
     pub fn calls(&self) -> Vec<Call> {
         self.proposals.values().map(|p| p.call).chain(self.reads.values().copied()).collect()
     }
 
-    /// Takes what the log wants done, until it wants nothing more, and compacts it.
-    pub fn turn(&mut self) -> Vec<Out> {
+    /// Performs the effects of the log until there are none, and compacts it.
+    pub fn run_step(&mut self) -> Vec<NodeOutput> {
         loop {
             let effects = self.raft.take_effects();
             if effects.is_empty() {
-                if self.raft.compactable_entries() <= self.log_kept {
+                if self.raft.compactable_entries() <= self.compact_after {
                     return std::mem::take(&mut self.out);
                 }
                 let state = encode(&self.control_state);
@@ -118,31 +135,33 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Write { number, write } => self.out.push(Out::Write(number, write)),
-            Effect::Send { to, message, after } => self.out.push(Out::Send(to, Wire::Raft(message), after)),
+            Effect::Write { number, write } => self.out.push(NodeOutput::Write { number, write }),
+            Effect::Send { to, message, after } => {
+                self.out.push(NodeOutput::Send { to, wire: Wire::Raft(message), after })
+            }
             Effect::Restore(snapshot) => {
                 if !snapshot.state.is_empty() {
                     let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
                     (self.control_state, _) = read.expect("a snapshot can be read");
                 }
-                self.out.push(Out::Restored(snapshot));
+                self.out.push(NodeOutput::Restored(snapshot));
             }
             Effect::Apply { index, entry } => {
                 let outcome = self.control_state.apply(index, entry.proposal_id, &entry.command);
                 let mark = entry.proposal_id;
-                self.out.push(Out::Applied(index, entry, outcome.clone()));
+                self.out.push(NodeOutput::Applied(AppliedEntry { index, entry, outcome: outcome.clone() }));
                 if mark.proposer == self.proposer {
                     self.decided(mark, &outcome);
                 }
             }
             Effect::ReadReady(token) => {
                 if let Some(call) = self.reads.remove(&token) {
-                    self.out.push(Out::Answer(call, Answer::Read(self.control_state.config.clone())));
+                    self.out.push(NodeOutput::Answer(call, Answer::Read(self.control_state.config.clone())));
                 }
             }
             Effect::ReadFailed(token) => {
                 if let Some(call) = self.reads.remove(&token) {
-                    self.out.push(Out::Answer(call, Answer::Unclear));
+                    self.out.push(NodeOutput::Answer(call, Answer::Unclear));
                 }
             }
         }
@@ -150,7 +169,7 @@
 
     fn decided(&mut self, mark: ProposalId, outcome: &Outcome) {
         if let Some(proposal) = self.proposals.remove(&mark.serial) {
-            self.out.push(Out::Answer(proposal.call, Answer::Decided(outcome.clone())));
+            self.out.push(NodeOutput::Answer(proposal.call, Answer::Decided(outcome.clone())));
         }
     }
 
@@ -159,10 +178,10 @@
         if self.wants_to_join() {
             due = due.min(self.join_due);
         }
-        self.proposals.values().map(|p| p.due).fold(due, Instant::min).max(now + BREATH)
+        self.proposals.values().map(|p| p.due).fold(due, Instant::min).max(now + TICK_INTERVAL_MIN)
     }
 
-    /// Outside the electorate, or a voter that finds no leader: it may have been retired meanwhile.
+    /// Outside the electorate, or a voter that finds no leader: it may have been removed meanwhile.
     fn wants_to_join(&self) -> bool {
         self.raft.voters().iter().all(|v| v.id != self.id) || self.raft.leader().is_none()
     }
@@ -170,7 +189,7 @@
     pub fn tick(&mut self, now: Instant, others: &[Ipv4Addr]) {
         self.raft.tick(now);
         if now >= self.join_due {
-            self.join_due = now + JOIN;
+            self.join_due = now + JOIN_INTERVAL;
             if self.wants_to_join() {
                 for to in others {
                     self.raft.request_to_join(*to, self.in_quorum);
@@ -188,12 +207,12 @@
                     return;
                 }
                 if let Some(outcome) = self.control_state.result(mark).cloned() {
-                    self.out.push(Out::Send(from, Wire::Decided { mark, outcome }, 0));
+                    self.out.push(NodeOutput::Send { to: from, wire: Wire::Decided { mark, outcome }, after: 0 });
                 } else if self.raft.propose(now, mark, command).is_some() {
-                    self.out.push(Out::Send(from, Wire::Heard { mark }, 0));
+                    self.out.push(NodeOutput::Send { to: from, wire: Wire::ProposalReceived { mark }, after: 0 });
                 }
             }
-            Wire::Heard { mark } => {
+            Wire::ProposalReceived { mark } => {
                 if let Some(p) = self.proposals.get_mut(&mark.serial).filter(|_| mark.proposer == self.proposer) {
                     p.due = now + DECIDED_TIMER;
                 }
@@ -209,11 +228,11 @@
     /// A client's change.
     pub fn propose(&mut self, now: Instant, call: Call, command: Command) {
         if self.raft.leader().is_none() {
-            self.out.push(Out::Answer(call, Answer::Unclear));
+            self.out.push(NodeOutput::Answer(call, Answer::Unclear));
             return;
         }
         self.serial += 1;
-        self.proposals.insert(self.serial, Proposal { command, call, by: now + ANSWER_BY, due: now });
+        self.proposals.insert(self.serial, Proposal { command, call, by: now + CALL_TIMEOUT, due: now });
         self.push_proposals(now);
     }
 
@@ -225,16 +244,16 @@
             if now >= proposal.by {
                 let call = proposal.call;
                 self.proposals.remove(&serial);
-                self.out.push(Out::Answer(call, Answer::Unclear));
+                self.out.push(NodeOutput::Answer(call, Answer::Unclear));
                 continue;
             }
             let command = proposal.command.clone();
-            proposal.due = now + HEARD_TIMER;
+            proposal.due = now + RECEIVED_TIMER;
             if self.raft.role() == Role::Leader {
                 proposal.due = now + DECIDED_TIMER;
                 self.raft.propose(now, mark, command);
             } else if let Some(leader) = self.raft.leader() {
-                self.out.push(Out::Send(leader.ip, Wire::Propose { mark, command }, 0));
+                self.out.push(NodeOutput::Send { to: leader.ip, wire: Wire::Propose { mark, command }, after: 0 });
             }
         }
     }
@@ -251,7 +270,7 @@
             Some(leader) => Answer::NotLeader(leader.ip),
             None => Answer::Unclear,
         };
-        self.out.push(Out::Answer(call, answer));
+        self.out.push(NodeOutput::Answer(call, answer));
     }
 }
 
--- a/engine/tests/model/register.rs
+++ b/engine/tests/model/register.rs
@@ -1,15 +1,15 @@
-//! The judge of clients: the configuration as a register that is changed by compare-and-set. Versions
+//! The checker of clients: the configuration as a register that is changed by compare-and-set. Versions
 //! only rise, so a history is linearizable exactly where each answer fits the versions known before the
-//! call began, and the changes that were taken form one chain. Calls without a clear answer may have
-//! been taken or not. It sees only what clients see.
+//! call began, and the accepted changes form one chain. Calls without a clear answer may have
+//! been accepted or not. It sees only what clients see.
 
-use super::judge::{RequestError, Violation, broken};
+use super::checker::{CheckResult, Violation, broken};
 use super::node::{Answer, Call};
 use lichenfield_engine::version::control_state::{Command, ConfigVersion, DRAINING_INSTANCES_KEPT, Outcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-pub type Order = usize;
+pub type PutIndex = usize;
 
 #[derive(Debug, Clone)]
 pub struct Put {
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Clone)]
 pub enum Kind {
-    Put { order: Order, operator: usize, acked_before: bool },
+    Put { order: PutIndex, operator: usize, acked_before: bool },
     Drain { id: String },
     Read,
 }
@@ -43,14 +43,14 @@
     calls: Call,
     /// The newest version that any client knows of.
     floor: u64,
-    /// Each operator's: the newest version it knows of, and its last order.
-    operators: Vec<(u64, Option<Order>)>,
+    /// For each operator the newest version it knows of, and its last change.
+    operators: Vec<(u64, Option<PutIndex>)>,
     pub drained: Vec<String>,
     drains: usize,
 }
 
-/// A resend is known only while not too many changes were taken since.
-const KNOWN_RESENDS: usize = 60;
+/// A resend is recognized only while not more changes than this were accepted since.
+const DEDUPLICATED_RESENDS: usize = 60;
 
 impl Register {
     pub fn new(operators: usize) -> Self {
@@ -63,7 +63,7 @@
         self.calls
     }
 
-    /// A new change on top of the newest version that the operator knows.
+    /// A new change based on the newest version that the operator knows.
     pub fn put(&mut self, operator: usize) -> (Call, Command) {
         let order = self.puts.len();
         let if_match = self.operators[operator].0;
@@ -74,12 +74,12 @@
         self.send(operator, order)
     }
 
-    /// The operator's last change again, as it was.
+    /// Sends the operator's last change again, unchanged.
     pub fn again(&mut self, operator: usize) -> Option<(Call, Command)> {
         self.operators[operator].1.map(|order| self.send(operator, order))
     }
 
-    fn send(&mut self, operator: usize, order: Order) -> (Call, Command) {
+    fn send(&mut self, operator: usize, order: PutIndex) -> (Call, Command) {
         let put = &self.puts[order];
         let by = format!("operator-{operator}");
         let command = Command::Configure { if_match: put.if_match, raw: put.raw.clone(), by, at: Duration::ZERO };
@@ -97,14 +97,14 @@
         self.begin(Kind::Read)
     }
 
-    /// A read is sent on; at most twice.
+    /// A read is redirected; false after the second time.
     pub fn redirected(&mut self, call: Call) -> bool {
         let Some(open) = self.open.get_mut(&call) else { return false };
         open.redirects += 1;
         open.redirects <= 2
     }
 
-    /// The client has its answer. Says what was acknowledged.
+    /// The client has its answer. Returns what was acknowledged.
     pub fn answered(&mut self, call: Call, answer: Answer) -> Result<Option<Kind>, Violation> {
         let Some(open) = self.open.remove(&call) else { return Ok(None) };
         match (&open.kind, answer) {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn taken(&mut self, order: Order) -> RequestError {
+    fn taken(&mut self, order: PutIndex) -> CheckResult {
         let put = &mut self.puts[order];
         if put.acked {
             return Ok(());
@@ -160,10 +160,10 @@
         }
     }
 
-    fn refused(&mut self, order: Order, acked_before: bool, floor: u64, current: u64) -> RequestError {
+    fn refused(&mut self, order: PutIndex, acked_before: bool, floor: u64, current: u64) -> CheckResult {
         let put = &mut self.puts[order];
         let since = current.saturating_sub(put.revision) as usize;
-        if acked_before && since < KNOWN_RESENDS {
+        if acked_before && since < DEDUPLICATED_RESENDS {
             return broken("register", format!("order {order} was taken, sent again and refused"));
         }
         if current < floor {
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn was_read(&mut self, floor: u64, version: Option<ConfigVersion>) -> RequestError {
+    fn was_read(&mut self, floor: u64, version: Option<ConfigVersion>) -> CheckResult {
         let revision = version.as_ref().map_or(0, |v| v.revision);
         if revision < floor {
             return broken("stale read", format!("{revision} was read, and {floor} was known before"));
@@ -198,12 +198,12 @@
         Ok(())
     }
 
-    /// At rest: what is in force holds all that was told.
-    pub fn in_force(&self, chain: &[Vec<u8>], drains: &VecDeque<String>) -> RequestError {
+    /// In a quiet period: the configuration in force includes everything acknowledged.
+    pub fn check_in_force(&self, chain: &[Vec<u8>], drains: &VecDeque<String>) -> CheckResult {
         for (order, put) in self.puts.iter().enumerate() {
             let there = chain.contains(&put.raw);
             if put.acked && !there {
-                return broken("what was told is lost", format!("order {order}"));
+                return broken("an acknowledged change is lost", format!("order {order}"));
             }
             if put.refused && there {
                 return broken("register", format!("order {order} was refused and is in force"));
@@ -211,7 +211,7 @@
         }
         let recent = self.drained.iter().rev().take(DRAINING_INSTANCES_KEPT / 2);
         match recent.into_iter().find(|d| !drains.contains(*d)) {
-            Some(gone) => broken("what was told is lost", format!("the drain of {gone}")),
+            Some(gone) => broken("an acknowledged change is lost", format!("the drain of {gone}")),
             None => Ok(()),
         }
     }
--- a/engine/tests/model/written_schedules.rs
+++ b/engine/tests/model/written_schedules.rs
@@ -16,7 +16,7 @@
 }
 
 impl Controllers {
-    fn founded(count: u8) -> Self {
+    fn set_founders(count: u8) -> Self {
         let now = Instant::now();
         let voters: Vec<Voter> =
             (1..=count).map(|n| Voter { id: u64::from(n), ip: Ipv4Addr::new(10, 0, 0, n) }).collect();
@@ -87,7 +87,7 @@
 /// the term that the same controller leads now.
 #[test]
 fn an_older_terms_round_confirms_nothing() {
-    let mut controllers = Controllers::founded(3);
+    let mut controllers = Controllers::set_founders(3);
     controllers.elect_first();
     let term = controllers.controllers[0].term();
     let mut late = None;
@@ -120,7 +120,7 @@
 /// with its rounds counted from the beginning and answers to those of the first time on the way.
 #[test]
 fn a_late_vote_makes_no_leader_again() {
-    let mut controllers = Controllers::founded(3);
+    let mut controllers = Controllers::set_founders(3);
     controllers.elect_first();
     let term = controllers.controllers[0].term();
     let asked = controllers
