--- a/engine/src/process/consensus/voter_plan.rs
+++ b/engine/src/process/consensus/voter_plan.rs
@@ -1,5 +1,8 @@
 //! Which voters a change of the electorate leads to, given who is ready to vote and who should go.
 
+#[cfg(test)]
+mod tests;
+
 use crate::version::electorate::{Voter, VoterId};
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
--- a/engine/tests/model/main.rs
+++ b/engine/tests/model/main.rs
@@ -39,7 +39,7 @@
 
 thread_local! {
     static SILENCE_PANICS: Cell<bool> = const { Cell::new(false) };
-    static TRACE_WIDTH: Cell<bool> = const { Cell::new(false) };
+    static TRACE: Cell<bool> = const { Cell::new(false) };
 }
 
 /// Runs a schedule. A panic is a violation like others; it is printed once, with the schedule.
@@ -54,7 +54,7 @@
         }));
     });
     SILENCE_PANICS.set(true);
-    let result = panic::catch_unwind(|| World::run(schedule, TRACE_WIDTH.get()));
+    let result = panic::catch_unwind(|| World::run(schedule, TRACE.get()));
     SILENCE_PANICS.set(false);
     result.unwrap_or_else(|cause| {
         let what = cause.downcast_ref::<String>().cloned();
@@ -68,14 +68,14 @@
 /// `MODEL_TRACE` set step by step; with `MODEL_TRACE=whole` the run as drawn is printed too.
 fn explore_seed(seed: u64) -> Result<Counts, String> {
     let mut schedule = Schedule::draw(seed);
-    TRACE_WIDTH.set(std::env::var("MODEL_TRACE").is_ok_and(|t| t == "whole"));
+    TRACE.set(std::env::var("MODEL_TRACE").is_ok_and(|t| t == "whole"));
     let result = run(&schedule);
-    TRACE_WIDTH.set(false);
+    TRACE.set(false);
     let Some((at, first)) = result.broken else { return Ok(result.counts) };
     schedule.fates = result.fates;
     let fails = |s: &Schedule| run(s).broken.filter(|(_, v)| v.kind == first.kind).map(|(at, _)| at);
     let short = schedule.shrink(env_or("MODEL_SHRINK", DEFAULT_SHRINK_RUNS) as usize, fails);
-    TRACE_WIDTH.set(std::env::var("MODEL_TRACE").is_ok());
+    TRACE.set(std::env::var("MODEL_TRACE").is_ok());
     let last = run(&short).broken.map_or_else(|| "not again".to_owned(), |(at, v)| format!("{at:?}: {}", v.what));
     Err(format!("{} (seed {seed}, {at:?}: {})\nshort, {last}\n{short}", first.kind, first.what))
 }
@@ -90,7 +90,7 @@
     let from = env_or("MODEL_SEED", 1);
     let threads = env_or("MODEL_THREADS", DEFAULT_THREADS as u64);
     let next = AtomicU64::new(from);
-    let work = || {
+    let explore_seeds = || {
         let mut failed = Vec::new();
         let mut seen = Vec::new();
         loop {
@@ -105,7 +105,7 @@
         }
     };
     let results: Vec<(Vec<Counts>, Vec<String>)> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..threads).map(|_| scope.spawn(explore_seeds)).collect();
         threads.into_iter().map(|t| t.join().expect("an explorer ends")).collect()
     });
     let seen: Vec<Counts> = results.iter().flat_map(|(s, _)| s.iter().copied()).collect();
--- a/engine/tests/model/network.rs
+++ b/engine/tests/model/network.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone)]
 pub enum Wire {
     Raft(Message),
-    Propose { mark: ProposalId, command: Command },
-    ProposalReceived { mark: ProposalId },
-    Decided { mark: ProposalId, outcome: Outcome },
+    Propose { proposal_id: ProposalId, command: Command },
+    ProposalReceived { proposal_id: ProposalId },
+    Decided { proposal_id: ProposalId, outcome: Outcome },
 }
 
 /// A hash of some numbers; defaults drawn from it depend on nothing but what they are for.
--- a/engine/tests/model/node.rs
+++ b/engine/tests/model/node.rs
@@ -59,7 +59,7 @@
 struct Proposal {
     command: Command,
     call: Call,
-    by: Instant,
+    deadline: Instant,
     due: Instant,
 }
 
@@ -74,9 +74,9 @@
     serial: u64,
     proposals: BTreeMap<u64, Proposal>,
     reads: BTreeMap<u64, Call>,
-    tokens: u64,
+    last_token: u64,
     join_due: Instant,
-    out: Vec<NodeOutput>,
+    outputs: Vec<NodeOutput>,
 }
 
 /// The settings of a controller.
@@ -104,9 +104,9 @@
             serial: 0,
             proposals: BTreeMap::new(),
             reads: BTreeMap::new(),
-            tokens: 0,
+            last_token: 0,
             join_due: now,
-            out: Vec::new(),
+            outputs: Vec::new(),
         }
     }
 
@@ -121,7 +121,7 @@
             let effects = self.raft.take_effects();
             if effects.is_empty() {
                 if self.raft.compactable_entries() <= self.compact_after {
-                    return std::mem::take(&mut self.out);
+                    return std::mem::take(&mut self.outputs);
                 }
                 let state = encode(&self.control_state);
                 self.raft.compact(state);
@@ -135,41 +135,41 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Write { number, write } => self.out.push(NodeOutput::Write { number, write }),
+            Effect::Write { number, write } => self.outputs.push(NodeOutput::Write { number, write }),
             Effect::Send { to, message, after } => {
-                self.out.push(NodeOutput::Send { to, wire: Wire::Raft(message), after })
+                self.outputs.push(NodeOutput::Send { to, wire: Wire::Raft(message), after })
             }
             Effect::Restore(snapshot) => {
                 if !snapshot.state.is_empty() {
                     let read = bincode::serde::decode_from_slice(&snapshot.state, bincode::config::standard());
                     (self.control_state, _) = read.expect("a snapshot can be read");
                 }
-                self.out.push(NodeOutput::Restored(snapshot));
+                self.outputs.push(NodeOutput::Restored(snapshot));
             }
             Effect::Apply { index, entry } => {
                 let outcome = self.control_state.apply(index, entry.proposal_id, &entry.command);
-                let mark = entry.proposal_id;
-                self.out.push(NodeOutput::Applied(AppliedEntry { index, entry, outcome: outcome.clone() }));
-                if mark.proposer == self.proposer {
-                    self.decided(mark, &outcome);
+                let proposal_id = entry.proposal_id;
+                self.outputs.push(NodeOutput::Applied(AppliedEntry { index, entry, outcome: outcome.clone() }));
+                if proposal_id.proposer == self.proposer {
+                    self.decided(proposal_id, &outcome);
                 }
             }
             Effect::ReadReady(token) => {
                 if let Some(call) = self.reads.remove(&token) {
-                    self.out.push(NodeOutput::Answer(call, Answer::Read(self.control_state.config.clone())));
+                    self.outputs.push(NodeOutput::Answer(call, Answer::Read(self.control_state.config.clone())));
                 }
             }
             Effect::ReadFailed(token) => {
                 if let Some(call) = self.reads.remove(&token) {
-                    self.out.push(NodeOutput::Answer(call, Answer::Unclear));
+                    self.outputs.push(NodeOutput::Answer(call, Answer::Unclear));
                 }
             }
         }
     }
 
-    fn decided(&mut self, mark: ProposalId, outcome: &Outcome) {
-        if let Some(proposal) = self.proposals.remove(&mark.serial) {
-            self.out.push(NodeOutput::Answer(proposal.call, Answer::Decided(outcome.clone())));
+    fn decided(&mut self, proposal_id: ProposalId, outcome: &Outcome) {
+        if let Some(proposal) = self.proposals.remove(&proposal_id.serial) {
+            self.outputs.push(NodeOutput::Answer(proposal.call, Answer::Decided(outcome.clone())));
         }
     }
 
@@ -202,24 +202,34 @@
     pub fn receive(&mut self, now: Instant, from: Ipv4Addr, wire: Wire) {
         match wire {
             Wire::Raft(message) => self.raft.handle_message(now, message),
-            Wire::Propose { mark, command } => {
+            Wire::Propose { proposal_id, command } => {
                 if self.raft.role() != Role::Leader {
                     return;
                 }
-                if let Some(outcome) = self.control_state.result(mark).cloned() {
-                    self.out.push(NodeOutput::Send { to: from, wire: Wire::Decided { mark, outcome }, after: 0 });
-                } else if self.raft.propose(now, mark, command).is_some() {
-                    self.out.push(NodeOutput::Send { to: from, wire: Wire::ProposalReceived { mark }, after: 0 });
+                if let Some(outcome) = self.control_state.result(proposal_id).cloned() {
+                    self.outputs.push(NodeOutput::Send {
+                        to: from,
+                        wire: Wire::Decided { proposal_id, outcome },
+                        after: 0,
+                    });
+                } else if self.raft.propose(now, proposal_id, command).is_some() {
+                    self.outputs.push(NodeOutput::Send {
+                        to: from,
+                        wire: Wire::ProposalReceived { proposal_id },
+                        after: 0,
+                    });
                 }
             }
-            Wire::ProposalReceived { mark } => {
-                if let Some(p) = self.proposals.get_mut(&mark.serial).filter(|_| mark.proposer == self.proposer) {
+            Wire::ProposalReceived { proposal_id } => {
+                if let Some(p) =
+                    self.proposals.get_mut(&proposal_id.serial).filter(|_| proposal_id.proposer == self.proposer)
+                {
                     p.due = now + DECIDED_TIMER;
                 }
             }
-            Wire::Decided { mark, outcome } => {
-                if mark.proposer == self.proposer {
-                    self.decided(mark, &outcome);
+            Wire::Decided { proposal_id, outcome } => {
+                if proposal_id.proposer == self.proposer {
+                    self.decided(proposal_id, &outcome);
                 }
             }
         }
@@ -228,32 +238,36 @@
     /// A client's change.
     pub fn propose(&mut self, now: Instant, call: Call, command: Command) {
         if self.raft.leader().is_none() {
-            self.out.push(NodeOutput::Answer(call, Answer::Unclear));
+            self.outputs.push(NodeOutput::Answer(call, Answer::Unclear));
             return;
         }
         self.serial += 1;
-        self.proposals.insert(self.serial, Proposal { command, call, by: now + CALL_TIMEOUT, due: now });
+        self.proposals.insert(self.serial, Proposal { command, call, deadline: now + CALL_TIMEOUT, due: now });
         self.push_proposals(now);
     }
 
     fn push_proposals(&mut self, now: Instant) {
         let due: Vec<u64> = self.proposals.iter().filter(|(_, p)| now >= p.due).map(|(s, _)| *s).collect();
         for serial in due {
-            let mark = ProposalId { proposer: self.proposer, serial };
+            let proposal_id = ProposalId { proposer: self.proposer, serial };
             let Some(proposal) = self.proposals.get_mut(&serial) else { continue };
-            if now >= proposal.by {
+            if now >= proposal.deadline {
                 let call = proposal.call;
                 self.proposals.remove(&serial);
-                self.out.push(NodeOutput::Answer(call, Answer::Unclear));
+                self.outputs.push(NodeOutput::Answer(call, Answer::Unclear));
                 continue;
             }
             let command = proposal.command.clone();
             proposal.due = now + RECEIVED_TIMER;
             if self.raft.role() == Role::Leader {
                 proposal.due = now + DECIDED_TIMER;
-                self.raft.propose(now, mark, command);
+                self.raft.propose(now, proposal_id, command);
             } else if let Some(leader) = self.raft.leader() {
-                self.out.push(NodeOutput::Send { to: leader.ip, wire: Wire::Propose { mark, command }, after: 0 });
+                self.outputs.push(NodeOutput::Send {
+                    to: leader.ip,
+                    wire: Wire::Propose { proposal_id, command },
+                    after: 0,
+                });
             }
         }
     }
@@ -261,16 +275,16 @@
     /// A client's read of the configuration.
     pub fn read(&mut self, now: Instant, call: Call) {
         if self.raft.role() == Role::Leader {
-            self.tokens += 1;
-            self.reads.insert(self.tokens, call);
-            self.raft.read(now, self.tokens);
+            self.last_token += 1;
+            self.reads.insert(self.last_token, call);
+            self.raft.read(now, self.last_token);
             return;
         }
         let answer = match self.raft.leader().filter(|l| l.ip != self.ip) {
             Some(leader) => Answer::NotLeader(leader.ip),
             None => Answer::Unclear,
         };
-        self.out.push(NodeOutput::Answer(call, answer));
+        self.outputs.push(NodeOutput::Answer(call, answer));
     }
 }
 
--- a/engine/tests/model/register.rs
+++ b/engine/tests/model/register.rs
@@ -9,43 +9,55 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// The index of a change in [`Register::puts`].
 pub type PutIndex = usize;
 
+/// A change that an operator sent.
 #[derive(Debug, Clone)]
 pub struct Put {
     if_match: u64,
     revision: u64,
     pub raw: Vec<u8>,
     /// The newest version known to any client when it was first sent.
-    floor: u64,
-    pub acked: bool,
+    known_revision: u64,
+    pub acknowledged: bool,
     refused: bool,
 }
 
+/// What a client asked for.
 #[derive(Debug, Clone)]
-pub enum Kind {
-    Put { order: PutIndex, operator: usize, acked_before: bool },
+pub enum CallKind {
+    Put { put_index: PutIndex, operator: usize, acknowledged_before: bool },
     Drain { id: String },
     Read,
 }
 
+/// A call without an answer so far.
 #[derive(Debug, Clone)]
-pub struct Open {
-    pub kind: Kind,
-    floor: u64,
+pub struct OpenCall {
+    pub kind: CallKind,
+    known_revision: u64,
     redirects: u8,
 }
 
+/// A client that sends changes.
+#[derive(Debug, Default, Clone)]
+struct Operator {
+    known_revision: u64,
+    last_put: Option<PutIndex>,
+}
+
+/// The calls of all clients, and what the answers imply.
 #[derive(Debug, Default)]
 pub struct Register {
     pub puts: Vec<Put>,
-    open: BTreeMap<Call, Open>,
-    calls: Call,
+    open_calls: BTreeMap<Call, OpenCall>,
+    last_call: Call,
     /// The newest version that any client knows of.
-    floor: u64,
+    known_revision: u64,
     /// For each operator the newest version it knows of, and its last change.
-    operators: Vec<(u64, Option<PutIndex>)>,
-    pub drained: Vec<String>,
+    operators: Vec<Operator>,
+    pub acknowledged_drains: Vec<String>,
     drains: usize,
 }
 
@@ -54,133 +66,153 @@
 
 impl Register {
     pub fn new(operators: usize) -> Self {
-        Register { operators: vec![(0, None); operators], ..Register::default() }
+        Register { operators: vec![Operator::default(); operators], ..Register::default() }
     }
 
-    fn begin(&mut self, kind: Kind) -> Call {
-        self.calls += 1;
-        self.open.insert(self.calls, Open { kind, floor: self.floor, redirects: 0 });
-        self.calls
+    fn begin_call(&mut self, kind: CallKind) -> Call {
+        self.last_call += 1;
+        self.open_calls.insert(self.last_call, OpenCall { kind, known_revision: self.known_revision, redirects: 0 });
+        self.last_call
     }
 
     /// A new change based on the newest version that the operator knows.
     pub fn put(&mut self, operator: usize) -> (Call, Command) {
-        let order = self.puts.len();
-        let if_match = self.operators[operator].0;
+        let put_index = self.puts.len();
+        let if_match = self.operators[operator].known_revision;
         let revision = if_match + 1;
-        let raw = format!(r#"{{"revision":{revision},"routes":[],"backends":[],"order":{order}}}"#).into_bytes();
-        self.puts.push(Put { if_match, revision, raw, floor: self.floor, acked: false, refused: false });
-        self.operators[operator].1 = Some(order);
-        self.send(operator, order)
+        let raw = format!(r#"{{"revision":{revision},"routes":[],"backends":[],"order":{put_index}}}"#).into_bytes();
+        self.puts.push(Put {
+            if_match,
+            revision,
+            raw,
+            known_revision: self.known_revision,
+            acknowledged: false,
+            refused: false,
+        });
+        self.operators[operator].last_put = Some(put_index);
+        self.send(operator, put_index)
     }
 
     /// Sends the operator's last change again, unchanged.
     pub fn again(&mut self, operator: usize) -> Option<(Call, Command)> {
-        self.operators[operator].1.map(|order| self.send(operator, order))
+        self.operators[operator].last_put.map(|put_index| self.send(operator, put_index))
     }
 
-    fn send(&mut self, operator: usize, order: PutIndex) -> (Call, Command) {
-        let put = &self.puts[order];
+    fn send(&mut self, operator: usize, put_index: PutIndex) -> (Call, Command) {
+        let put = &self.puts[put_index];
         let by = format!("operator-{operator}");
         let command = Command::Configure { if_match: put.if_match, raw: put.raw.clone(), by, at: Duration::ZERO };
-        let acked_before = put.acked;
-        (self.begin(Kind::Put { order, operator, acked_before }), command)
+        let acknowledged_before = put.acknowledged;
+        (self.begin_call(CallKind::Put { put_index, operator, acknowledged_before }), command)
     }
 
     pub fn drain(&mut self) -> (Call, Command) {
         self.drains += 1;
         let id = format!("i{}", self.drains);
-        (self.begin(Kind::Drain { id: id.clone() }), Command::DrainInstance { id })
+        (self.begin_call(CallKind::Drain { id: id.clone() }), Command::DrainInstance { id })
     }
 
     pub fn read(&mut self) -> Call {
-        self.begin(Kind::Read)
+        self.begin_call(CallKind::Read)
     }
 
     /// A read is redirected; false after the second time.
     pub fn redirected(&mut self, call: Call) -> bool {
-        let Some(open) = self.open.get_mut(&call) else { return false };
-        open.redirects += 1;
-        open.redirects <= 2
+        let Some(open_call) = self.open_calls.get_mut(&call) else { return false };
+        open_call.redirects += 1;
+        open_call.redirects <= 2
     }
 
     /// The client has its answer. Returns what was acknowledged.
-    pub fn answered(&mut self, call: Call, answer: Answer) -> Result<Option<Kind>, Violation> {
-        let Some(open) = self.open.remove(&call) else { return Ok(None) };
-        match (&open.kind, answer) {
-            (Kind::Put { order, operator, .. }, Answer::Decided(Outcome::Accepted)) => {
-                self.taken(*order)?;
-                let revision = self.puts[*order].revision;
-                let known = &mut self.operators[*operator].0;
+    pub fn answered(&mut self, call: Call, answer: Answer) -> Result<Option<CallKind>, Violation> {
+        let Some(open_call) = self.open_calls.remove(&call) else { return Ok(None) };
+        match (&open_call.kind, answer) {
+            (CallKind::Put { put_index, operator, .. }, Answer::Decided(Outcome::Accepted)) => {
+                self.check_accepted(*put_index)?;
+                let revision = self.puts[*put_index].revision;
+                let known = &mut self.operators[*operator].known_revision;
                 *known = (*known).max(revision);
-                Ok(Some(open.kind))
+                Ok(Some(open_call.kind))
             }
-            (Kind::Put { order, operator, acked_before }, Answer::Decided(Outcome::Conflict { current })) => {
-                self.refused(*order, *acked_before, open.floor, current)?;
-                self.operators[*operator].0 = self.operators[*operator].0.max(current);
+            (
+                CallKind::Put { put_index, operator, acknowledged_before },
+                Answer::Decided(Outcome::Conflict { current }),
+            ) => {
+                self.refused(*put_index, *acknowledged_before, open_call.known_revision, current)?;
+                self.operators[*operator].known_revision = self.operators[*operator].known_revision.max(current);
                 Ok(None)
             }
-            (Kind::Put { order, .. }, Answer::Decided(other)) => {
-                broken("register", format!("order {order} was answered {other:?}")).map(|()| None)
+            (CallKind::Put { put_index, .. }, Answer::Decided(other)) => {
+                broken("register", format!("change {put_index} was answered {other:?}")).map(|()| None)
             }
-            (Kind::Drain { id }, Answer::Decided(_)) => {
-                self.drained.push(id.clone());
-                Ok(Some(open.kind))
+            (CallKind::Drain { id }, Answer::Decided(_)) => {
+                self.acknowledged_drains.push(id.clone());
+                Ok(Some(open_call.kind))
             }
-            (Kind::Read, Answer::Read(version)) => {
-                self.was_read(open.floor, version)?;
-                Ok(Some(open.kind))
+            (CallKind::Read, Answer::Read(version)) => {
+                self.check_read(open_call.known_revision, version)?;
+                Ok(Some(open_call.kind))
             }
             _ => Ok(None),
         }
     }
 
-    fn taken(&mut self, order: PutIndex) -> CheckResult {
-        let put = &mut self.puts[order];
-        if put.acked {
+    fn check_accepted(&mut self, put_index: PutIndex) -> CheckResult {
+        let put = &mut self.puts[put_index];
+        if put.acknowledged {
             return Ok(());
         }
-        put.acked = true;
+        put.acknowledged = true;
         let put = put.clone();
         if put.refused {
-            return broken("register", format!("order {order} was refused and then taken"));
+            return broken("register", format!("change {put_index} was refused and then taken"));
         }
-        if put.if_match < put.floor {
-            let what = format!("order {order} built on {}, and {} was known before", put.if_match, put.floor);
+        if put.if_match < put.known_revision {
+            let what =
+                format!("change {put_index} built on {}, and {} was known before", put.if_match, put.known_revision);
             return broken("register", what);
         }
-        self.floor = self.floor.max(put.revision);
+        self.known_revision = self.known_revision.max(put.revision);
         let apart = |p: &Put| p.revision <= put.if_match || put.revision <= p.if_match;
-        let other = self.puts.iter().enumerate().find(|(at, p)| *at != order && p.acked && !apart(p));
+        let other = self.puts.iter().enumerate().find(|(at, p)| *at != put_index && p.acknowledged && !apart(p));
         match other {
             Some((other, _)) => {
-                broken("register", format!("orders {other} and {order} were both taken on one version"))
+                broken("register", format!("changes {other} and {put_index} were both taken on one version"))
             }
             None => Ok(()),
         }
     }
 
-    fn refused(&mut self, order: PutIndex, acked_before: bool, floor: u64, current: u64) -> CheckResult {
-        let put = &mut self.puts[order];
+    fn refused(
+        &mut self,
+        put_index: PutIndex,
+        acknowledged_before: bool,
+        known_revision: u64,
+        current: u64,
+    ) -> CheckResult {
+        let put = &mut self.puts[put_index];
         let since = current.saturating_sub(put.revision) as usize;
-        if acked_before && since < DEDUPLICATED_RESENDS {
-            return broken("register", format!("order {order} was taken, sent again and refused"));
+        if acknowledged_before && since < DEDUPLICATED_RESENDS {
+            return broken("register", format!("change {put_index} was taken, sent again and refused"));
         }
-        if current < floor {
-            return broken("register", format!("order {order} was refused by {current}, and {floor} was known before"));
+        if current < known_revision {
+            return broken(
+                "register",
+                format!("change {put_index} was refused by {current}, and {known_revision} was known before"),
+            );
         }
         if current == put.if_match {
-            return broken("register", format!("order {order} was refused on the version it builds on"));
+            return broken("register", format!("change {put_index} was refused on the version it builds on"));
         }
-        put.refused |= !acked_before;
-        self.floor = self.floor.max(current);
+        put.refused |= !acknowledged_before;
+        self.known_revision = self.known_revision.max(current);
         Ok(())
     }
 
-    fn was_read(&mut self, floor: u64, version: Option<ConfigVersion>) -> CheckResult {
+    fn check_read(&mut self, known_revision: u64, version: Option<ConfigVersion>) -> CheckResult {
         let revision = version.as_ref().map_or(0, |v| v.revision);
-        if revision < floor {
-            return broken("stale read", format!("{revision} was read, and {floor} was known before"));
+        if revision < known_revision {
+            return broken("stale read", format!("{revision} was read, and {known_revision} was known before"));
         }
         if let Some(version) = version {
             let Some(put) = self.puts.iter().find(|p| p.raw == version.raw) else {
@@ -189,27 +221,27 @@
             if put.refused {
                 return broken("register", format!("{revision} was read, which was refused"));
             }
-            let skipped = |p: &&Put| p.acked && p.if_match < revision && revision < p.revision;
+            let skipped = |p: &&Put| p.acknowledged && p.if_match < revision && revision < p.revision;
             if self.puts.iter().any(|p| skipped(&p)) {
                 return broken("register", format!("{revision} was read, which a taken change leaves no place for"));
             }
         }
-        self.floor = self.floor.max(revision);
+        self.known_revision = self.known_revision.max(revision);
         Ok(())
     }
 
     /// In a quiet period: the configuration in force includes everything acknowledged.
     pub fn check_in_force(&self, chain: &[Vec<u8>], drains: &VecDeque<String>) -> CheckResult {
-        for (order, put) in self.puts.iter().enumerate() {
+        for (put_index, put) in self.puts.iter().enumerate() {
             let there = chain.contains(&put.raw);
-            if put.acked && !there {
-                return broken("an acknowledged change is lost", format!("order {order}"));
+            if put.acknowledged && !there {
+                return broken("an acknowledged change is lost", format!("change {put_index}"));
             }
             if put.refused && there {
-                return broken("register", format!("order {order} was refused and is in force"));
+                return broken("register", format!("change {put_index} was refused and is in force"));
             }
         }
-        let recent = self.drained.iter().rev().take(DRAINING_INSTANCES_KEPT / 2);
+        let recent = self.acknowledged_drains.iter().rev().take(DRAINING_INSTANCES_KEPT / 2);
         match recent.into_iter().find(|d| !drains.contains(*d)) {
             Some(gone) => broken("an acknowledged change is lost", format!("the drain of {gone}")),
             None => Ok(()),
--- a/engine/tests/model/world/clients.rs
+++ b/engine/tests/model/world/clients.rs
@@ -5,7 +5,7 @@
 use super::node_views::disk_views;
 use crate::checker::{CheckResult, broken};
 use crate::node::{Answer, Call};
-use crate::register::Kind;
+use crate::register::CallKind;
 use crate::schedule::{Target, When, ms};
 use lichenfield_engine::version::control_state::Command;
 use std::time::Duration;
@@ -28,15 +28,15 @@
             }
         }
         let index = match self.register.answered(call, answer)? {
-            Some(Kind::Put { order, .. }) => {
+            Some(CallKind::Put { put_index, .. }) => {
                 self.quiet_period = self.quiet_period.map(|_| true);
-                let put = &self.register.puts[order].raw;
+                let put = &self.register.puts[put_index].raw;
                 self.checker.find(|c| matches!(c, Command::Configure { raw, .. } if raw == put))
             }
-            Some(Kind::Drain { id }) => {
+            Some(CallKind::Drain { id }) => {
                 self.checker.find(|c| matches!(c, Command::DrainInstance { id: i } if *i == id))
             }
-            Some(Kind::Read) => {
+            Some(CallKind::Read) => {
                 self.checker.counts.reads += 1;
                 return Ok(());
             }
