--- a/controller/src/client.rs
+++ b/controller/src/client.rs
@@ -1,5 +1,6 @@
 //! The operator's client: every call has a bounded time, and exit codes tell what happened.
 
+use lichenfield_engine::version::config;
 use lichenfield_runtime::http::{self, Answer};
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
@@ -45,7 +46,7 @@
 
 pub fn check(file: &str) -> ExitCode {
     let checked =
-        std::fs::read(file).map_err(|e| e.to_string()).and_then(|raw| lichenfield_engine::version::config::read(&raw));
+        std::fs::read(file).map_err(|e| e.to_string()).and_then(|raw| config::parse(&raw).map_err(|e| e.to_string()));
     match checked {
         Ok(document) => {
             println!("{file}: good, revision {}", document.revision);
--- a/engine/src/process/controller/http_api.rs
+++ b/engine/src/process/controller/http_api.rs
@@ -100,13 +100,13 @@
         let Some(if_match) = request.if_match.as_deref().and_then(version) else {
             return Some(Response::error(400, "If-Match must give the number of the version this builds on"));
         };
-        match config::read(&request.body) {
+        match config::parse(&request.body) {
             Ok(document) if document.revision <= if_match => {
                 let why = format!("revision {} is not above {if_match}, which it builds on", document.revision);
                 return Some(Response::error(400, &why));
             }
             Ok(_) => {}
-            Err(why) => return Some(Response::error(400, &why)),
+            Err(error) => return Some(Response::error(400, &error.to_string())),
         }
         if self.raft.leader().is_none() {
             return Some(Response::error(503, "no leader; ask again"));
--- a/engine/src/process/controller/proposals.rs
+++ b/engine/src/process/controller/proposals.rs
@@ -88,7 +88,7 @@
                     412,
                     &serde_json::json!({"error": "another version is in place", "revision": current}),
                 ),
-                Outcome::Invalid { why } => Response::error(400, why),
+                Outcome::Invalid { reason: why } => Response::error(400, why),
                 Outcome::Unknown => Response::error(503, "built on a version too old to tell what became of it"),
             };
             self.pending.push_back(Effect::Reply(token, response));
--- a/engine/src/process/leadership/mod.rs
+++ b/engine/src/process/leadership/mod.rs
@@ -307,7 +307,7 @@
             .stores
             .get_or_insert_with(|| QuotaCoordinator::new(since, term, LEASE_DURATION, LEADER_CONFIRMATION, excess));
         if stores.revision() != control_state.revision() {
-            let document = control_state.config.as_ref().and_then(|c| config::read(&c.raw).ok());
+            let document = control_state.config.as_ref().and_then(|c| config::parse(&c.raw).ok());
             stores.learn(control_state.revision(), document.map(|d| config::quotas(&d)).unwrap_or_default());
         }
         stores.asked(now, who, whole, needs, control_state.pooler_shares.keys())
@@ -538,7 +538,7 @@
         let old_stays = instances.iter().any(|i| i.id == epoch.primary) && !context.leaves(&epoch.primary);
         if let Some((term, id)) = leads {
             let newer = term > epoch.term;
-            let spared = id == epoch.primary && term == epoch.term && old_stays && epoch.named.is_none();
+            let spared = id == epoch.primary && term == epoch.term && old_stays && epoch.candidate.is_none();
             if newer || spared {
                 work.proposed = Some(now);
                 work.called = None;
@@ -580,7 +580,7 @@
         let Some(&(mut best, mut received)) = candidates.iter().max_by_key(|(i, p)| (*p, i.id.clone())) else { return };
         // Whoever was named before may have been asked to take over by a call whose outcome nobody
         // knows: naming another now could make two of them lead, one after the other.
-        if let Some(named) = epoch.named.as_deref().filter(|n| *n != best.id) {
+        if let Some(named) = epoch.candidate.as_deref().filter(|n| *n != best.id) {
             match candidates.iter().find(|(i, _)| i.id == named) {
                 Some((instance, position)) => (best, received) = (*instance, *position),
                 None if now < clear + NAMED_PATIENCE && !work.refused.contains_key(named) => return,
@@ -594,20 +594,20 @@
         {
             return;
         }
-        if !self.may_act(now, service, epoch.holder.as_deref()) {
+        if !self.may_act(now, service, epoch.caller.as_deref()) {
             return;
         }
         let named =
-            epoch.named.as_deref() == Some(best.id.as_str()) && epoch.holder.as_deref() == Some(self.node.as_str());
+            epoch.candidate.as_deref() == Some(best.id.as_str()) && epoch.caller.as_deref() == Some(self.node.as_str());
         let best = best.clone();
         if !named {
             work.proposed = Some(now);
-            let holder = self.node.clone();
+            let caller = self.node.clone();
             let command = Command::SelectCandidate {
                 service: service.to_owned(),
                 epoch: epoch.epoch,
                 candidate: best.id,
-                holder,
+                caller,
             };
             self.out.push(Effect::Propose(command));
             return;
@@ -671,7 +671,7 @@
         }
         if !parts.is_empty() && parts != *control_state {
             self.shares_after = Some(now + SHARES_PAUSE);
-            self.out.push(Effect::Propose(Command::SetPoolerShares { parts }));
+            self.out.push(Effect::Propose(Command::SetPoolerShares { shares: parts }));
         }
     }
 
@@ -693,11 +693,11 @@
         // What is committed and not known to have been taken is sent, oldest first.
         let unsent = control_state.usage_reports.iter().find(|(w, _)| **w + 4 >= whole && !self.sent.contains(w));
         if let Some((window, report)) = unsent {
-            if report.holder != self.node && control_state.usage_reporter.as_deref() != Some(self.node.as_str()) {
+            if report.reporter != self.node && control_state.usage_reporter.as_deref() != Some(self.node.as_str()) {
                 // The holder changes hands through the log before anything is sent.
                 if self.propose_usage_due(now, *window) {
                     let command =
-                        Command::RecordUsage { window: *window, counts: BTreeMap::new(), holder: self.node.clone() };
+                        Command::RecordUsage { window: *window, counts: BTreeMap::new(), reporter: self.node.clone() };
                     self.out.push(Effect::Propose(command));
                 }
                 return;
@@ -725,7 +725,7 @@
         if let Some((window, counts)) = sums.into_iter().find(|(_, c)| c.values().any(|n| *n > 0))
             && self.propose_usage_due(now, window)
         {
-            self.out.push(Effect::Propose(Command::RecordUsage { window, counts, holder: self.node.clone() }));
+            self.out.push(Effect::Propose(Command::RecordUsage { window, counts, reporter: self.node.clone() }));
         }
         for windows in self.counts.values_mut() {
             windows.retain(|w, _| *w + 12 > whole);
--- a/engine/src/process/pooler/mod.rs
+++ b/engine/src/process/pooler/mod.rs
@@ -16,7 +16,7 @@
 use crate::connection::framing::NextLine;
 use crate::request::error::{RequestError, is_promise};
 use crate::request::statement::{self, Statement, word};
-use crate::version::config::{self, Configuration, Kind};
+use crate::version::config::{self, Configuration, ReadConsistency};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -377,7 +377,7 @@
 
     /// Goes by a configuration; says whether that changed who carries what.
     fn adopt(&mut self, raw: &[u8]) -> bool {
-        match config::read(raw) {
+        match config::parse(raw) {
             Ok(document) if document.revision > self.revision() => {
                 let config = Configuration::new(&document);
                 for name in config.backends.keys() {
@@ -936,9 +936,9 @@
             "CONNECT" if !session.open => {
                 let (database, key) = word(rest);
                 let refusal = match &self.config {
-                    _ if self.finished => Some(("BUSY", "this daemon ends; come back at once, elsewhere")),
-                    None => Some(("BUSY", "no configuration yet")),
-                    Some(config) => config.admit(database, key).err(),
+                    _ if self.finished => Some(("BUSY", "this daemon ends; come back at once, elsewhere".to_owned())),
+                    None => Some(("BUSY", "no configuration yet".to_owned())),
+                    Some(config) => config.admit(database, key).err().map(|error| (error.code(), error.to_string())),
                 };
                 if let Some((code, why)) = refusal {
                     self.say(session_id, format!("ERROR {code} {why}\r\n"));
@@ -999,7 +999,7 @@
         let Some(session) = self.sessions.get_mut(&session_id) else { return };
         if matches!(session.transaction, Transaction::Bound { .. }) {
             session.idle_since = Some(now);
-            let after = self.config.as_ref().map_or(Duration::from_secs(3), |c| c.tx_rest);
+            let after = self.config.as_ref().map_or(Duration::from_secs(3), |c| c.idle_transaction_timeout);
             self.timers.push(Reverse((now + after, Timer::Rest(session_id, session.client_activity.statement_count))));
         }
     }
@@ -1132,8 +1132,8 @@
                 Some(route) => return Some((route.clone(), tenant)),
                 None => self.tell(now, session_id, &RequestError::Rejected("NODB", "no such database".into()), in_tx),
             },
-            Err((code, why)) => {
-                self.tell(now, session_id, &RequestError::Rejected(code, why.to_owned()), in_tx);
+            Err(error) => {
+                self.tell(now, session_id, &RequestError::Rejected(error.code(), error.to_string()), in_tx);
                 self.drop_session(now, session_id, true);
             }
         }
@@ -1167,7 +1167,7 @@
             Transaction::Lazy { read, began, .. } => (!read, *began),
             _ => (false, op.arrived),
         };
-        let primary_only = op.route.kind == Kind::Primary
+        let primary_only = op.route.consistency == ReadConsistency::Primary
             || plain
             || (op.kind == StatementKind::Write && matches!(session.transaction, Transaction::None));
         let write = op.kind == StatementKind::Write;
@@ -1201,10 +1201,12 @@
     /// The position that a read's log must hold: proven, or unknown.
     fn needed(&self, session: &Session, op: &PendingStatement, began: Instant) -> Option<Position> {
         let s = self.services.get(&op.route.service)?;
-        let oldest = began.checked_sub(op.route.stale)? + FRESH_SLACK;
+        let oldest = began.checked_sub(op.route.max_staleness)? + FRESH_SLACK;
         let bound = s.observed.iter().find(|(at, _)| *at >= oldest).map(|(_, p)| *p)?;
         match &session.last_own_commit {
-            Some((service, own, _)) if op.route.kind == Kind::OwnWrites && *service == op.route.service => {
+            Some((service, own, _))
+                if op.route.consistency == ReadConsistency::ReadYourWrites && *service == op.route.service =>
+            {
                 if own.term >= s.term {
                     Some(bound.max(*own))
                 } else {
@@ -1227,7 +1229,10 @@
     ) -> Option<String> {
         let primary = self.services.get(service).map(|s| s.primary.as_str()).unwrap_or_default();
         let young = session.last_own_commit.as_ref().is_some_and(|(s, p, at)| {
-            s == service && op.route.kind == Kind::OwnWrites && *p == position && now.duration_since(*at) < OWN_LAG
+            s == service
+                && op.route.consistency == ReadConsistency::ReadYourWrites
+                && *p == position
+                && now.duration_since(*at) < OWN_LAG
         });
         let mut best: Option<(f64, &str)> = None;
         for (id, pool) in self.of_service(service) {
@@ -2048,7 +2053,9 @@
             Transaction::Lazy { began, .. } => *began,
             _ => op.arrived,
         };
-        op.route.kind != Kind::Primary && op.kind != StatementKind::Write && self.needed(session, op, began).is_some()
+        op.route.consistency != ReadConsistency::Primary
+            && op.kind != StatementKind::Write
+            && self.needed(session, op, began).is_some()
     }
 
     /// Asks the primary for its position, where no statement of clients tells it.
--- a/engine/tests/golden/control_state.rs
+++ b/engine/tests/golden/control_state.rs
@@ -1,4 +1,4 @@
-//! Samples of the log's commands, their outcomes, the control_state that they lead to, and a snapshot of it.
+//! Samples of the log's commands, their outcomes, the control state that they lead to, and a snapshot of it.
 
 use crate::{Sample, assert_all_sampled, bincode_sample, to_bincode, variants};
 use lichenfield_engine::process::consensus::Snapshot;
@@ -49,33 +49,34 @@
     Command::Configure { if_match, raw: document(revision), by: "daemon".into(), at }
 }
 
-fn close(epoch: u64) -> Command {
+fn close_epoch(epoch: u64) -> Command {
     Command::CloseEpoch { service: "service".into(), epoch }
 }
 
-fn crown(epoch: u64, term: u64) -> Command {
+fn install_primary(epoch: u64, term: u64) -> Command {
     Command::InstallPrimary { service: "service".into(), epoch, primary: format!("primary-{term}"), term }
 }
 
-fn name(epoch: u64) -> Command {
-    Command::SelectCandidate { service: "service".into(), epoch, candidate: "target".into(), holder: "holder".into() }
+fn select_candidate(epoch: u64) -> Command {
+    Command::SelectCandidate { service: "service".into(), epoch, candidate: "target".into(), caller: "holder".into() }
 }
 
-fn drain(id: &str) -> Command {
+fn drain_instance(id: &str) -> Command {
     Command::DrainInstance { id: id.into() }
 }
 
-fn shares() -> Command {
-    let part = |n| (format!("daemon-{n}"), PoolerShare { ip: Ipv4Addr::new(10, 60, 70, n), zone: format!("zone-{n}") });
-    Command::SetPoolerShares { parts: [part(1), part(2)].into() }
+fn set_pooler_shares() -> Command {
+    let share =
+        |n| (format!("daemon-{n}"), PoolerShare { ip: Ipv4Addr::new(10, 60, 70, n), zone: format!("zone-{n}") });
+    Command::SetPoolerShares { shares: [share(1), share(2)].into() }
 }
 
-fn usage(window: u64) -> Command {
+fn record_usage(window: u64) -> Command {
     let counts = BTreeMap::from([("tenant-a".to_owned(), 600), ("tenant-b".to_owned(), 70_000)]);
-    Command::RecordUsage { window, counts, holder: "usage-holder".into() }
+    Command::RecordUsage { window, counts, reporter: "usage-holder".into() }
 }
 
-fn voters() -> Command {
+fn change_electorate() -> Command {
     Command::ChangeElectorate {
         electorate: Electorate { voters: vec![voter(1), voter(2)], outgoing: vec![voter(3), voter(4), voter(5)] },
     }
@@ -85,13 +86,13 @@
     vec![
         Command::Noop,
         configure(3, 4),
-        close(5),
-        name(6),
-        crown(7, 8),
-        drain("instance"),
-        shares(),
-        usage(360_000_000),
-        voters(),
+        close_epoch(5),
+        select_candidate(6),
+        install_primary(7, 8),
+        drain_instance("instance"),
+        set_pooler_shares(),
+        record_usage(360_000_000),
+        change_electorate(),
     ]
 }
 
@@ -99,12 +100,12 @@
     vec![
         Outcome::Accepted,
         Outcome::Conflict { current: 300 },
-        Outcome::Invalid { why: "no such field".into() },
+        Outcome::Invalid { reason: "no such field".into() },
         Outcome::Unknown,
     ]
 }
 
-/// What some of each command lead to, with a conflict and an invalid change among the results.
+/// The state after some of each command, with a conflict and an invalid change among the results.
 fn control_state() -> ControlState {
     let mut control_state = ControlState::default();
     let applied = [
@@ -113,35 +114,35 @@
         configure(400, 401),
         configure(7, 402),
         configure(401, 3),
-        crown(1, 50),
-        close(1),
-        name(1),
-        crown(2, 60),
-        close(2),
-        name(2),
-        drain("instance-1"),
-        drain("instance-2"),
-        shares(),
-        usage(80),
-        usage(81),
-        voters(),
+        install_primary(1, 50),
+        close_epoch(1),
+        select_candidate(1),
+        install_primary(2, 60),
+        close_epoch(2),
+        select_candidate(2),
+        drain_instance("instance-1"),
+        drain_instance("instance-2"),
+        set_pooler_shares(),
+        record_usage(80),
+        record_usage(81),
+        change_electorate(),
     ];
     for (command, index) in applied.iter().zip(1..) {
-        // Two proposers, and the leader's own.
-        let mark = if index % 3 == 0 {
+        // Proposals of two proposers, and the leader's own entries.
+        let proposal_id = if index % 3 == 0 {
             ProposalId::default()
         } else {
             ProposalId { proposer: 1000 + index % 2, serial: index }
         };
-        control_state.apply(index, mark, command);
+        control_state.apply(index, proposal_id, command);
     }
     control_state
 }
 
-/// As after so many changes that the first of them are not known any more; that field is private.
+/// As after so many changes that the first of them are forgotten; that field is private.
 fn state_with_forgotten_changes() -> ControlState {
     let mut fields = serde_json::to_value(control_state()).expect("fields");
-    fields["oldest_known_base"] = 77.into();
+    fields["accepted_changes"]["oldest_known_base"] = 77.into();
     serde_json::from_value(fields).expect("a control state")
 }
 
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn the_control_state_of_the_samples_holds_something_of_everything() {
+fn the_sampled_control_state_has_a_value_in_every_field() {
     let control_state = control_state();
     assert_eq!(
         (control_state.applied_index, control_state.revision(), control_state.change_history.len()),
@@ -176,7 +177,7 @@
     );
     let service = &control_state.epochs["service"];
     assert_eq!((service.epoch, service.term, service.closed), (2, 60, true));
-    assert_eq!((service.named.as_deref(), service.holder.as_deref()), (Some("target"), Some("holder")));
+    assert_eq!((service.candidate.as_deref(), service.caller.as_deref()), (Some("target"), Some("holder")));
     assert_eq!(
         (control_state.draining_instances.len(), control_state.pooler_shares.len(), control_state.usage_reports.len()),
         (2, 2, 2)
