--- a/controller/src/driver.rs
+++ b/controller/src/driver.rs
@@ -4,7 +4,7 @@
 use lichenfield_engine::process::consensus::Write;
 use lichenfield_engine::process::controller::{Controller, Effect, Request, Response, Token};
 use lichenfield_engine::process::dissemination::anti_entropy::Instance;
-use lichenfield_engine::process::leadership::HealthCheckResult;
+use lichenfield_engine::process::leadership::{HealthCheckResult, PlatformCallOutcome};
 use lichenfield_engine::process::peer_message::PeerMessage;
 use lichenfield_engine::process::settings::Settings;
 use lichenfield_runtime::http::{self, Answer, Call};
@@ -243,7 +243,8 @@
             Ok(answer) => tracing::info!("platform {path}: {}", answer.status),
             Err(why) => tracing::info!("platform {path}: {why}"),
         }
-        self.controller.borrow_mut().platform_call_finished(Instant::now(), token, status.ok().map(|a| a.status));
+        let outcome = PlatformCallOutcome::from_status(status.ok().map(|a| a.status));
+        self.controller.borrow_mut().platform_call_finished(Instant::now(), token, outcome);
         self.tick();
     }
 }
--- a/engine/src/process/controller/mod.rs
+++ b/engine/src/process/controller/mod.rs
@@ -5,7 +5,7 @@
 use super::dissemination::partial_view::{PartialView, PeerDescriptor};
 use super::dissemination::tree::DisseminationTree;
 use super::instance_registry::{self, InstanceRegistry};
-use super::leadership::{HealthCheckResult, LeaderContext, Leadership};
+use super::leadership::{HealthCheckResult, LeaderContext, Leadership, PlatformCallOutcome};
 use super::peer_message::PeerMessage;
 use super::settings::{Settings, TimingBounds};
 use crate::version::control_state::ControlState;
@@ -198,8 +198,8 @@
         self.duty_due = now;
     }
 
-    pub fn platform_call_finished(&mut self, now: Instant, token: u64, status: Option<u16>) {
-        self.leadership.platform_call_finished(now, token, status);
+    pub fn platform_call_finished(&mut self, now: Instant, token: u64, outcome: PlatformCallOutcome) {
+        self.leadership.platform_call_finished(now, token, outcome);
         self.duty_due = now;
     }
 
@@ -273,10 +273,9 @@
                 term: self.raft.term(),
                 control_state: &self.control_state,
                 registry: &self.registry,
-                wall,
-                confirm: LEADER_CONFIRMATION,
+                time_of_day: wall,
             };
-            self.leadership.run_once(&context);
+            self.leadership.step(&context);
         } else if now >= self.duty_due {
             self.duty_due = now + DUTY_TICK;
         }
--- a/engine/src/process/controller/peer_messages.rs
+++ b/engine/src/process/controller/peer_messages.rs
@@ -2,11 +2,10 @@
 
 use super::Controller;
 use super::proposals::DECIDED_TIMER;
-use crate::process::consensus::LEADER_CONFIRMATION;
 use crate::process::consensus::Role;
 use crate::process::dissemination::anti_entropy::{Update, UpdateValue};
 use crate::process::dissemination::partial_view::PeerDescriptor;
-use crate::process::leadership::{self, LeaderContext};
+use crate::process::leadership::{self, LeaderContext, LeaseDecision, RightsRequest};
 use crate::process::peer_message::{LeaseGrant, PeerMessage};
 use crate::version::electorate::Voter;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -104,10 +103,10 @@
                     term: self.raft.term(),
                     control_state: &self.control_state,
                     registry: &self.registry,
-                    wall: Duration::ZERO,
-                    confirm: LEADER_CONFIRMATION,
+                    time_of_day: Duration::ZERO,
                 };
-                let (leases, reported, transfers) = self.leadership.handle_lease_request(&context, from, ask);
+                let LeaseDecision { leases, reported_through, transfers } =
+                    self.leadership.handle_lease_request(&context, from, ask);
                 let digests = (sum != self.relay.store.digest_sum()).then(|| self.relay.store.digests());
                 let (span, term) = (leadership::LEASE_DURATION, self.raft.term());
                 self.send(
@@ -116,7 +115,7 @@
                         nonce,
                         leases,
                         valid_for: span,
-                        reported_through: reported,
+                        reported_through,
                         digests,
                         term,
                         transfers,
@@ -125,8 +124,8 @@
             }
             PeerMessage::RightsRequest { nonce, node, incarnation, needs } if self.raft.is_confirmed_leader(now) => {
                 let term = self.raft.term();
-                let transfers =
-                    self.leadership.grant_rights(now, term, &self.control_state, (&node, incarnation), false, needs);
+                let request = RightsRequest { node: &node, incarnation, complete: false, needs };
+                let transfers = self.leadership.grant_rights(now, term, &self.control_state, request);
                 self.send(from, PeerMessage::RightsGrant { nonce, span: leadership::LEASE_DURATION, term, transfers });
             }
             PeerMessage::LeaseReturned { service, epoch } => {
--- /dev/null
+++ b/engine/src/process/leadership/primary_failover.rs
@@ -0,0 +1,314 @@
+//! Replacing a service's primary, step by step.
+//!
+//! Each step is committed to the log before anything is done outside, so that another leader can go on where this one
+//! stopped. What is committed is in [`Epoch`](crate::version::control_state::Epoch); what is only remembered here is
+//! lost with the lead and gathered anew.
+//!
+//! | Epoch in the log    | Step                                                                                  |
+//! |---------------------|---------------------------------------------------------------------------------------|
+//! | none                | find the instance that leads, commit `InstallPrimary` for epoch 1                     |
+//! | open                | watch the primary ([`failure_detection`]); to replace it, commit `CloseEpoch`         |
+//! | closed              | recall the leases and wait until none can be in use ([`LeaseTable::may_be_in_use`])   |
+//! | closed, leases over | ask the instances for their state ([`successor`]) and choose the one furthest ahead   |
+//! | candidate chosen    | check the A-B-A rule ([`PlatformCalls::may_act`]), commit `SelectCandidate`           |
+//! | candidate committed | call the platform to promote it, under this leader's term as a fence                  |
+//! | new leader seen     | commit `InstallPrimary` for the next epoch; ask the old primary to step down          |
+//!
+//! Why this is safe: no lease is granted for a closed epoch and all earlier ones are over before the instances are
+//! asked, so that nothing is acknowledged under the old epoch that their answers do not show; the platform is called by
+//! one controller at a time on a subject; and a new epoch opens only for an instance that was seen to lead.
+//!
+//! [`failure_detection`]: super::failure_detection
+//! [`successor`]: super::successor
+
+use super::failure_detection::{FailureDetector, PrimaryReports, ReplaceReason};
+use super::health_check::{HealthCheckResult, HealthChecks};
+use super::leases::LeaseTable;
+use super::old_primaries::OldPrimaries;
+use super::outbox::{Outbox, PendingCall};
+use super::platform_calls::{PlatformCallOutcome, PlatformCalls};
+use super::promotion_request::PromotionRequest;
+use super::successor::{Candidate, NewPrimary, Survey};
+use super::{Lead, LeaderContext};
+use crate::process::peer_message::PeerMessage;
+use crate::process::settings::TimingBounds;
+use crate::version::control_state::{Command, Epoch};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// Pause between recalls of the same leases: messages between daemons are lost with their connection, and a repeat
+/// costs little.
+const RECALL_INTERVAL: Duration = Duration::from_millis(150);
+/// A proposal that was not applied for this long is made again.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What the failover works with, beside its own state.
+pub struct FailoverContext<'a> {
+    /// State and registry.
+    pub leader: &'a LeaderContext<'a>,
+    /// This leader's term.
+    pub lead: Lead,
+    /// Bounds of the platform's rules.
+    pub bounds: &'a TimingBounds,
+    /// Time between two heartbeats of an instance.
+    pub heartbeat_interval: Duration,
+    /// The leases of this term.
+    pub leases: &'a LeaseTable,
+    /// Permission to call the platform.
+    pub platform: &'a mut PlatformCalls,
+    /// Where replaced primaries are handed over.
+    pub old_primaries: &'a mut OldPrimaries,
+    /// Where effects go.
+    pub outbox: &'a mut Outbox,
+}
+
+/// The failovers of all services, by name.
+#[derive(Debug, Default)]
+pub struct PrimaryFailover(BTreeMap<String, ServiceFailover>);
+
+impl PrimaryFailover {
+    /// Takes a service's next step. Called by a confirmed leader only.
+    pub fn step(&mut self, service: &str, reports: PrimaryReports, context: &mut FailoverContext) {
+        let failover = self.0.entry(service.to_owned()).or_default();
+        failover.step(service, reports, context);
+    }
+
+    /// Whether a change of the service's epoch was proposed and is not known to be applied.
+    pub fn has_proposal(&self, service: &str) -> bool {
+        self.0.get(service).is_some_and(|failover| failover.proposed_at.is_some())
+    }
+
+    /// An entry was applied: the proposal that it may be of is not under way any more.
+    pub fn entry_applied(&mut self, command: &Command) {
+        let (Command::CloseEpoch { service, .. }
+        | Command::SelectCandidate { service, .. }
+        | Command::InstallPrimary { service, .. }) = command
+        else {
+            return;
+        };
+        if let Some(failover) = self.0.get_mut(service) {
+            failover.proposed_at = None;
+        }
+    }
+
+    /// Takes the result of a health check.
+    pub fn health_check_finished(&mut self, now: Instant, service: &str, instance: &str, result: HealthCheckResult) {
+        if let Some(failover) = self.0.get_mut(service) {
+            failover.checks.record(now, instance, result);
+        }
+    }
+
+    /// Takes the outcome of a call to the platform.
+    pub fn platform_call_finished(
+        &mut self,
+        now: Instant,
+        service: &str,
+        candidate: String,
+        outcome: PlatformCallOutcome,
+    ) {
+        if let Some(failover) = self.0.get_mut(service) {
+            failover.promotion.finished(now, candidate, outcome);
+        }
+    }
+
+    /// The term is over.
+    pub fn clear(&mut self) {
+        self.0.clear();
+    }
+}
+
+/// What is remembered of one service's failover.
+#[derive(Debug, Default)]
+struct ServiceFailover {
+    /// A change of the epoch is under way since then.
+    proposed_at: Option<Instant>,
+    /// Since when the epoch is known to be closed without a lease in use.
+    leases_over_since: Option<Instant>,
+    last_recall_at: Option<Instant>,
+    checks: HealthChecks,
+    promotion: PromotionRequest,
+}
+
+/// What is done next for a closed epoch whose leases are over.
+enum Step {
+    /// Nothing until something else is known.
+    Wait,
+    /// Open the next epoch.
+    Install(NewPrimary),
+    /// Commit whom the platform will be asked to promote.
+    Select(Candidate),
+    /// Ask the platform to promote the committed candidate.
+    Promote(Candidate),
+}
+
+impl ServiceFailover {
+    fn step(&mut self, service: &str, reports: PrimaryReports, context: &mut FailoverContext) {
+        let now = context.leader.now;
+        if self.proposed_at.is_some_and(|at| now.duration_since(at) > PROPOSAL_TIMEOUT) {
+            self.proposed_at = None;
+        }
+        let leader = context.leader;
+        match leader.control_state.epochs.get(service) {
+            None => self.install_first(service, context),
+            Some(epoch) if !epoch.closed => {
+                self.leases_over_since = None;
+                self.watch(service, epoch, reports, context);
+            }
+            Some(epoch) if context.leases.may_be_in_use(now, context.lead.since, service, epoch.epoch) => {
+                self.wait_for_leases(service, epoch, context);
+            }
+            Some(epoch) => self.replace(service, epoch, context),
+        }
+    }
+
+    fn propose(&mut self, command: Command, context: &mut FailoverContext) {
+        self.proposed_at = Some(context.leader.now);
+        context.outbox.propose(command);
+    }
+
+    /// The first epoch is opened for the instance that leads already.
+    fn install_first(&mut self, service: &str, context: &mut FailoverContext) {
+        let leader = context.leader;
+        for instance in leader.registry.of_service(service).filter(|instance| instance.primary) {
+            self.checks.check(leader.now, service, instance, context.outbox);
+        }
+        if self.proposed_at.is_some() {
+            return;
+        }
+        let Some((primary, term)) = self.checks.first_primary() else { return };
+        let primary = primary.clone();
+        self.checks.clear();
+        self.propose(Command::InstallPrimary { service: service.to_owned(), epoch: 1, primary, term }, context);
+    }
+
+    /// Closes an open epoch once there is a reason to replace its primary.
+    fn watch(&mut self, service: &str, epoch: &Epoch, reports: PrimaryReports, context: &mut FailoverContext) {
+        if self.proposed_at.is_some() {
+            return;
+        }
+        let detector = FailureDetector {
+            context: context.leader,
+            lead_since: context.lead.since,
+            heartbeat_interval: context.heartbeat_interval,
+            service,
+            primary: &epoch.primary,
+            reports,
+        };
+        if let Some(reason) = detector.reason_to_replace(&mut self.checks, context.outbox) {
+            self.close(service, epoch, reason, context);
+        }
+    }
+
+    fn close(&mut self, service: &str, epoch: &Epoch, reason: ReplaceReason, context: &mut FailoverContext) {
+        context.outbox.log(format!("{service}: closing epoch {}: {reason}", epoch.epoch));
+        self.propose(Command::CloseEpoch { service: service.to_owned(), epoch: epoch.epoch }, context);
+        self.recall_leases(service, epoch, context);
+    }
+
+    fn recall_leases(&mut self, service: &str, epoch: &Epoch, context: &mut FailoverContext) {
+        let now = context.leader.now;
+        self.last_recall_at = Some(now);
+        for pooler in context.leases.holders(now, service, epoch.epoch) {
+            let recall = PeerMessage::LeaseRecall { service: service.to_owned(), epoch: epoch.epoch };
+            context.outbox.send(pooler, recall);
+        }
+    }
+
+    /// Recalls the leases again where due. The instances are asked already, so that their next answers come soon; only
+    /// those to requests made after the last lease ended will count.
+    fn wait_for_leases(&mut self, service: &str, epoch: &Epoch, context: &mut FailoverContext) {
+        let now = context.leader.now;
+        if self.last_recall_at.is_none_or(|at| now.duration_since(at) > RECALL_INTERVAL) {
+            self.recall_leases(service, epoch, context);
+        }
+        self.leases_over_since = None;
+        self.check_all(service, context);
+    }
+
+    fn check_all(&mut self, service: &str, context: &mut FailoverContext) {
+        let leader = context.leader;
+        for instance in leader.registry.of_service(service) {
+            self.checks.check(leader.now, service, instance, context.outbox);
+        }
+    }
+
+    /// One step towards the next epoch, with no lease in use.
+    fn replace(&mut self, service: &str, epoch: &Epoch, context: &mut FailoverContext) {
+        let leader = context.leader;
+        let leases_over_since = *self.leases_over_since.get_or_insert(leader.now);
+        self.check_all(service, context);
+        if self.proposed_at.is_some() {
+            return;
+        }
+        let survey = Survey {
+            context: leader,
+            epoch,
+            leases_over_since,
+            instances: leader.registry.of_service(service).collect(),
+            results: self.checks.results_requested_after(leases_over_since),
+        };
+        match self.next_step(service, &survey, context) {
+            Step::Wait => {}
+            Step::Install(primary) => self.install(service, &survey, primary, context),
+            Step::Select(candidate) => self.select(service, epoch, candidate, context),
+            Step::Promote(candidate) => self.promote(service, &candidate, context),
+        }
+    }
+
+    fn next_step(&mut self, service: &str, survey: &Survey, context: &FailoverContext) -> Step {
+        let now = context.leader.now;
+        if let Some(primary) = survey.new_primary() {
+            return Step::Install(primary);
+        }
+        if self.promotion.must_wait(now) {
+            return Step::Wait;
+        }
+        self.promotion.forget_old_refusals(now);
+        let Some(candidate) = survey.choose_candidate(|id| self.promotion.is_refused(id)) else { return Step::Wait };
+        let Epoch { candidate: selected, caller, .. } = survey.epoch;
+        if !context.platform.may_act(now, context.bounds, service, caller.as_deref()) {
+            return Step::Wait;
+        }
+        let is_committed = selected.as_deref() == Some(candidate.id.as_str());
+        let is_caller = caller.as_deref() == Some(context.platform.node());
+        if is_committed && is_caller { Step::Promote(candidate) } else { Step::Select(candidate) }
+    }
+
+    fn install(&mut self, service: &str, survey: &Survey, new: NewPrimary, context: &mut FailoverContext) {
+        self.promotion.forget_accepted();
+        self.checks.clear();
+        context.outbox.log(format!("{service}: {} leads term {}", new.id, new.term));
+        if new.took_over
+            && let Some(old) = survey.old_primary().filter(|old| old.id != new.id)
+        {
+            context.old_primaries.add(context.leader.now, old, new.term);
+        }
+        let epoch = survey.epoch.epoch + 1;
+        let command = Command::InstallPrimary { service: service.to_owned(), epoch, primary: new.id, term: new.term };
+        self.propose(command, context);
+    }
+
+    fn select(&mut self, service: &str, epoch: &Epoch, candidate: Candidate, context: &mut FailoverContext) {
+        let command = Command::SelectCandidate {
+            service: service.to_owned(),
+            epoch: epoch.epoch,
+            candidate: candidate.id,
+            caller: context.platform.node().to_owned(),
+        };
+        self.propose(command, context);
+    }
+
+    fn promote(&mut self, service: &str, candidate: &Candidate, context: &mut FailoverContext) {
+        let now = context.leader.now;
+        if !context.platform.is_configured() || !context.platform.take_call_slot(now) {
+            return;
+        }
+        self.promotion.started();
+        context.platform.record_act(now, service);
+        let Candidate { id, received } = candidate;
+        context.outbox.log(format!("{service}: asking the platform to promote {id}, which has received {received}"));
+        let call = PendingCall::Failover { service: service.to_owned(), candidate: id.clone() };
+        let body = serde_json::json!({"service": service, "id": id});
+        context.outbox.platform_call(call, "/failover", context.lead.term, &body);
+    }
+}
--- /dev/null
+++ b/engine/src/process/leadership/tenant_rights.rs
@@ -0,0 +1,59 @@
+//! The tenants' rights to run operations, which the leader hands out.
+//!
+//! The counter itself is in [`quota`](crate::process::quota); here it is begun anew with each term and kept to the
+//! limits of the configuration in force.
+
+use super::Lead;
+use super::leases::LEASE_DURATION;
+use crate::process::consensus::LEADER_CONFIRMATION;
+use crate::process::quota::{QuotaCoordinator, RightsNeed, RightsTransfer};
+use crate::process::settings::TimingBounds;
+use crate::version::config;
+use crate::version::control_state::ControlState;
+use std::time::Instant;
+
+/// A pooler's request for rights.
+#[derive(Debug, Clone)]
+pub struct RightsRequest<'a> {
+    /// Name of the pooler's node.
+    pub node: &'a str,
+    /// Identity of its process.
+    pub incarnation: u64,
+    /// Whether the needs cover every tenant that the pooler holds rights for.
+    pub complete: bool,
+    /// What it holds and wants, by tenant.
+    pub needs: Vec<RightsNeed>,
+}
+
+/// The coordinator of this term, from the first request on.
+#[derive(Debug, Default)]
+pub struct TenantRights(Option<QuotaCoordinator>);
+
+impl TenantRights {
+    /// Hands out what there is for a pooler's needs.
+    pub fn grant(
+        &mut self,
+        now: Instant,
+        lead: Lead,
+        bounds: &TimingBounds,
+        control_state: &ControlState,
+        request: RightsRequest,
+    ) -> Vec<RightsTransfer> {
+        let excess = (bounds.quota_excess, bounds.quota_slack);
+        let coordinator = self.0.get_or_insert_with(|| {
+            QuotaCoordinator::new(lead.since, lead.term, LEASE_DURATION, LEADER_CONFIRMATION, excess)
+        });
+        if coordinator.revision() != control_state.revision() {
+            let document = control_state.config.as_ref().and_then(|config| config::parse(&config.raw).ok());
+            let quotas = document.map(|document| config::quotas(&document)).unwrap_or_default();
+            coordinator.learn(control_state.revision(), quotas);
+        }
+        let pooler = (request.node, request.incarnation);
+        coordinator.asked(now, pooler, request.complete, request.needs, control_state.pooler_shares.keys())
+    }
+
+    /// The term is over: the next one begins a coordinator of its own.
+    pub fn clear(&mut self) {
+        self.0 = None;
+    }
+}
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -9,7 +9,7 @@
 use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
 use lichenfield_engine::process::dissemination::tree::DisseminationTree;
 use lichenfield_engine::process::forwarding::{self, ForwardedSession};
-use lichenfield_engine::process::leadership::HealthCheckResult;
+use lichenfield_engine::process::leadership::{HealthCheckResult, PlatformCallOutcome};
 use lichenfield_engine::process::peer_message::{self, PeerMessage};
 use lichenfield_engine::process::pooler::{self, Pooler};
 use lichenfield_engine::process::settings::Settings;
@@ -617,7 +617,7 @@
                     if let NodeKind::Controller(ControllerNode { controller: Some(controller), .. }) =
                         &mut self.nodes[n].kind
                     {
-                        controller.platform_call_finished(now, token, status);
+                        controller.platform_call_finished(now, token, PlatformCallOutcome::from_status(status));
                     }
                     self.drain(n);
                 }
