--- a/engine/src/connection/backend_connection.rs
+++ b/engine/src/connection/backend_connection.rs
@@ -1,158 +1,242 @@
-//! A pooled connection to an instance: what it holds of sessions' values and names, and the answers
-//! that are still to come on it.
+//! A pooled connection to an instance: the session state replayed on it, and the answers still to come.
 
-use super::client_session::Position;
+use super::SessionId;
 use super::framing::{LineReader, NextLine};
-use crate::request::statement::{Shape, word};
+use super::position::Position;
+use crate::request::statement::{Shape, split_word};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
+use thiserror::Error;
 
-/// Whose answer comes next.
+/// What the next answer on a connection belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExpectedAnswer {
+    /// The answer to `CONNECT`.
     Greeting,
-    /// A statement of our own that readies the connection.
+    /// A statement that prepares the connection for a session.
     Setup,
     /// A client's statement.
     Statement,
-    /// A rollback of ours, after which the connection is free.
+    /// The pooler's own `ROLLBACK`, after which the connection is free.
     Rollback,
-    /// A `STATUS` that was sent to learn the primary's position.
+    /// The pooler's own `STATUS`, which asks the primary for its position.
     Status,
 }
 
+/// An answer that has not arrived yet.
+#[derive(Debug, Clone, Copy)]
+pub struct OutstandingRequest {
+    /// What the answer will belong to.
+    pub expected: ExpectedAnswer,
+    /// When the request was sent.
+    pub sent_at: Instant,
+}
+
+/// What a connection is used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConnectionUse {
+pub enum ConnectionState {
+    /// Not greeted yet.
     Opening,
+    /// Free.
     Idle,
-    /// Works for this session.
-    Busy(u64),
-    /// Its session gave up on the answer; it is read and dropped before the connection is used again.
+    /// Serves this session.
+    Busy(SessionId),
+    /// Its session gave up on the answer, which is awaited and dropped before the connection is used again.
     Parked,
     /// Asks for the primary's position.
-    Asking,
+    QueryingPosition,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Answer {
-    /// As received, for passing on.
+    /// Its bytes, to be passed on to the client.
     pub raw: String,
-    /// The error's code, if it is one.
+    /// The code, if it is an error.
     pub code: Option<String>,
+    /// The state letter of its `READY` line.
     pub state: char,
+    /// The position in its `READY` line.
     pub position: Option<Position>,
 }
 
+/// A complete answer together with the request that it answers.
+#[derive(Debug, PartialEq)]
+pub struct ReceivedAnswer {
+    /// What it belongs to.
+    pub expected: ExpectedAnswer,
+    /// When the request was sent.
+    pub sent_at: Instant,
+    /// The answer.
+    pub answer: Answer,
+}
+
+/// The instance broke the protocol; the connection cannot be used any more.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum ProtocolError {
+    /// A line or answer is longer than allowed.
+    #[error("answer too long")]
+    AnswerTooLong,
+    /// A line is no text or lacks its line end.
+    #[error("malformed line")]
+    MalformedLine,
+    /// Nothing was asked.
+    #[error("unexpected answer")]
+    UnexpectedAnswer,
+    /// The line begins with an unknown word.
+    #[error("unknown message")]
+    UnknownMessage,
+}
+
+/// A connection to an instance, opened for one tenant.
 #[derive(Debug)]
 pub struct BackendConnection {
+    /// The instance.
     pub instance: String,
+    /// The instance's service.
     pub service: String,
+    /// The tenant whose sessions alone it serves.
     pub tenant: String,
-    pub usage: ConnectionUse,
-    pub values: BTreeMap<String, String>,
+    /// What it is used for.
+    pub state: ConnectionState,
+    /// Session variables set on it.
+    pub variables: BTreeMap<String, String>,
+    /// Names of the statements prepared on it.
     pub prepared: HashMap<Shape, String>,
-    pub names: u64,
-    pub expect: VecDeque<(ExpectedAnswer, Instant)>,
-    pub state: char,
-    /// The epoch under whose lease it works as a primary's connection, while it does.
+    /// Names given so far.
+    names_given: u64,
+    /// Answers still to come, in the order of their requests.
+    pub outstanding: VecDeque<OutstandingRequest>,
+    /// The state letter of the last `READY` line.
+    pub transaction_state: char,
+    /// While it works as a connection to the primary: the epoch of the lease that covers it.
     pub epoch: Option<u64>,
-    /// Whether a plain transaction of this connection may have written.
+    /// When it entered its state or was last sent a request that a timeout bounds.
     pub since: Instant,
     /// A setup statement failed with this code.
-    pub setup_failed: Option<String>,
-    lines: LineReader,
+    pub setup_error: Option<String>,
+    input: LineReader,
     partial: Answer,
 }
 
-/// Bytes of one answer that are held at most.
+/// Greatest size of one answer, in bytes.
 const ANSWER_MAX: usize = 4 << 20;
 
 impl BackendConnection {
+    /// A connection that is being opened, its `CONNECT` on the way.
     pub fn new(now: Instant, instance: &str, service: &str, tenant: &str) -> Self {
         BackendConnection {
             instance: instance.to_owned(),
             service: service.to_owned(),
             tenant: tenant.to_owned(),
-            usage: ConnectionUse::Opening,
-            values: BTreeMap::new(),
+            state: ConnectionState::Opening,
+            variables: BTreeMap::new(),
             prepared: HashMap::new(),
-            names: 0,
-            expect: VecDeque::from([(ExpectedAnswer::Greeting, now)]),
-            state: 'I',
+            names_given: 0,
+            outstanding: VecDeque::from([OutstandingRequest { expected: ExpectedAnswer::Greeting, sent_at: now }]),
+            transaction_state: 'I',
             epoch: None,
             since: now,
-            setup_failed: None,
-            lines: LineReader::default(),
+            setup_error: None,
+            input: LineReader::default(),
             partial: Answer::default(),
         }
     }
 
+    /// Whether it is free.
+    pub fn is_idle(&self) -> bool {
+        self.state == ConnectionState::Idle
+    }
+
+    /// Whether it has not been greeted yet.
+    pub fn is_opening(&self) -> bool {
+        self.state == ConnectionState::Opening
+    }
+
+    /// Records that a request was sent.
+    pub fn expect(&mut self, expected: ExpectedAnswer, sent_at: Instant) {
+        self.outstanding.push_back(OutstandingRequest { expected, sent_at });
+    }
+
+    /// Takes bytes received from the instance.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.lines.push(bytes);
+        self.input.push(bytes);
     }
 
-    /// The next whole answer, if there is one; an error means that the connection is of no use.
-    pub fn answer(&mut self) -> Result<Option<(ExpectedAnswer, Instant, Answer)>, &'static str> {
+    /// The next complete answer, if there is one.
+    pub fn next_answer(&mut self) -> Result<Option<ReceivedAnswer>, ProtocolError> {
         loop {
-            let line = match self.lines.next_line() {
+            let line = match self.input.next_line() {
                 NextLine::Line(line) => line,
                 NextLine::Partial => return Ok(None),
-                NextLine::TooBig => return Err("over-long answer"),
-                NextLine::Garbage => return Err("garbage"),
+                NextLine::TooLong => return Err(ProtocolError::AnswerTooLong),
+                NextLine::Malformed => return Err(ProtocolError::MalformedLine),
+            };
+            let Some(request) = self.outstanding.front().copied() else {
+                return Err(ProtocolError::UnexpectedAnswer);
             };
-            let Some((expect, sent)) = self.expect.front().copied() else { return Err("an answer to nothing") };
-            let (kind, rest) = word(&line);
+            let (kind, rest) = split_word(&line);
             match kind {
-                "ROW" => {}
-                "DONE" => {}
+                "ROW" | "DONE" => {}
                 "ERROR" => {
-                    self.partial.code = Some(word(rest).0.to_owned());
-                    if expect == ExpectedAnswer::Greeting {
-                        self.expect.pop_front();
-                        return Ok(Some((expect, sent, std::mem::take(&mut self.partial))));
+                    self.partial.code = Some(split_word(rest).0.to_owned());
+                    // A refused `CONNECT` is not followed by `READY`.
+                    if request.expected == ExpectedAnswer::Greeting {
+                        return Ok(Some(self.complete_answer(request)));
                     }
                 }
                 "READY" => {
-                    let (state, position) = word(rest);
-                    self.partial.state = state.chars().next().unwrap_or('?');
-                    self.partial.position = Position::read(position);
-                    self.state = self.partial.state;
-                    self.partial.raw.push_str(&line);
-                    self.partial.raw.push_str("\r\n");
-                    self.expect.pop_front();
-                    return Ok(Some((expect, sent, std::mem::take(&mut self.partial))));
+                    self.apply_ready(rest);
+                    self.append_line(&line);
+                    return Ok(Some(self.complete_answer(request)));
                 }
-                _ => return Err("an unknown message"),
+                _ => return Err(ProtocolError::UnknownMessage),
             }
             if self.partial.raw.len() + line.len() > ANSWER_MAX {
-                return Err("over-long answer");
+                return Err(ProtocolError::AnswerTooLong);
             }
-            self.partial.raw.push_str(&line);
-            self.partial.raw.push_str("\r\n");
+            self.append_line(&line);
         }
     }
 
-    /// The statements that make the connection's values and names what the session's are. Names are
-    /// ours, one per shape, and outlive the session.
-    pub fn align(&mut self, values: &BTreeMap<String, String>, shape: Option<&Shape>) -> Vec<String> {
+    fn apply_ready(&mut self, fields: &str) {
+        let (state, position) = split_word(fields);
+        self.partial.state = state.chars().next().unwrap_or('?');
+        self.partial.position = Position::parse(position);
+        self.transaction_state = self.partial.state;
+    }
+
+    fn append_line(&mut self, line: &str) {
+        self.partial.raw.push_str(line);
+        self.partial.raw.push_str("\r\n");
+    }
+
+    fn complete_answer(&mut self, request: OutstandingRequest) -> ReceivedAnswer {
+        self.outstanding.pop_front();
+        let answer = std::mem::take(&mut self.partial);
+        ReceivedAnswer { expected: request.expected, sent_at: request.sent_at, answer }
+    }
+
+    /// The statements that give the connection the session's variables and prepared shape. Names of prepared
+    /// statements are the pooler's own, one per shape, and outlive the session.
+    pub fn align(&mut self, variables: &BTreeMap<String, String>, shape: Option<&Shape>) -> Vec<String> {
         let mut texts = Vec::new();
-        if self.values.keys().any(|name| !values.contains_key(name)) {
+        if self.variables.keys().any(|name| !variables.contains_key(name)) {
             texts.push("RESET".to_owned());
-            self.values.clear();
+            self.variables.clear();
             self.prepared.clear();
         }
-        for (name, value) in values {
-            if self.values.get(name) != Some(value) {
+        for (name, value) in variables {
+            if self.variables.get(name) != Some(value) {
                 texts.push(format!("SET {name} {value}"));
-                self.values.insert(name.clone(), value.clone());
+                self.variables.insert(name.clone(), value.clone());
             }
         }
         if let Some(shape) = shape
             && !self.prepared.contains_key(shape)
         {
-            self.names += 1;
-            let name = format!("w{}", self.names);
+            self.names_given += 1;
+            let name = format!("w{}", self.names_given);
             texts.push(format!("PREPARE {name} {} {}", shape.verb(), shape.text));
             self.prepared.insert(shape.clone(), name);
         }
@@ -161,31 +245,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn values_are_replayed_only_where_they_differ() {
-        let mut conn = BackendConnection::new(Instant::now(), "i", "s", "t");
-        let values = |pairs: &[(&str, &str)]| pairs.iter().map(|(a, b)| ((*a).to_owned(), (*b).to_owned())).collect();
-        let shape = Shape { write: true, text: "q2c".into() };
-        assert_eq!(conn.align(&values(&[("a", "1")]), Some(&shape)), ["SET a 1", "PREPARE w1 WRITE q2c"]);
-        assert!(conn.align(&values(&[("a", "1")]), Some(&shape)).is_empty());
-        assert_eq!(conn.align(&values(&[("a", "2"), ("b", "3")]), None), ["SET a 2", "SET b 3"]);
-        assert_eq!(conn.align(&values(&[("b", "3")]), Some(&shape)), ["RESET", "SET b 3", "PREPARE w2 WRITE q2c"]);
-    }
-
-    #[test]
-    fn answers_are_whole_or_not_there() {
-        let mut conn = BackendConnection::new(Instant::now(), "i", "s", "t");
-        conn.push(b"READY I 3.7\r\nROW x\r\nDONE");
-        let (expect, _, hello) = conn.answer().expect("well formed").expect("whole");
-        assert_eq!((expect, hello.position), (ExpectedAnswer::Greeting, Some(Position { term: 3, number: 7 })));
-        conn.expect.push_back((ExpectedAnswer::Statement, Instant::now()));
-        assert_eq!(conn.answer().expect("well formed"), None);
-        conn.push(b" 7.1\r\nREADY T 3.8\r\nROW stray\r\n");
-        let (_, _, answer) = conn.answer().expect("well formed").expect("whole");
-        assert_eq!(answer.raw, "ROW x\r\nDONE 7.1\r\nREADY T 3.8\r\n");
-        assert!(conn.answer().is_err(), "an answer to nothing");
-    }
-}
+mod tests;
--- a/engine/src/connection/client_session.rs
+++ b/engine/src/connection/client_session.rs
@@ -1,144 +1,73 @@
-//! A client's session: its values, its prepared names, its transaction.
+//! A client's session: its variables, prepared statements, transaction and current statement.
+
+pub use super::pending_statement::{PendingStatement, PreparedExecution, StatementKind, StatementStage};
+pub use super::position::Position;
+pub use super::transaction::Transaction;
 
 use super::draining::{ClientActivity, DrainPhase, SessionState};
 use super::framing::LineReader;
 use crate::request::statement::Shape;
-use crate::version::config::Route;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-/// A position in an instance's log; positions of a later term are later.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position {
-    pub term: u64,
-    pub number: u64,
-}
-
-impl Position {
-    pub fn read(text: &str) -> Option<Position> {
-        let (term, number) = text.split_once('.')?;
-        Some(Position { term: term.parse().ok()?, number: number.parse().ok()? })
-    }
-}
-
-impl std::fmt::Display for Position {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}.{}", self.term, self.number)
-    }
-}
-
-#[derive(Debug)]
-pub enum Transaction {
-    None,
-    /// Begun by the client, not yet at an instance.
-    Lazy {
-        read: bool,
-        began: Instant,
-        route: Route,
-    },
-    /// On an instance's connection.
-    Bound {
-        conn: u64,
-        read: bool,
-        began: Instant,
-        route: Route,
-    },
-    /// Failed; only its end is taken, once its client has been told.
-    Failed {
-        told: bool,
-    },
-}
-
-impl Transaction {
-    pub fn state(&self) -> char {
-        match self {
-            Transaction::None => 'I',
-            Transaction::Lazy { .. } | Transaction::Bound { .. } => 'T',
-            Transaction::Failed { .. } => 'E',
-        }
-    }
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StatementKind {
-    Read,
-    Write,
-    Commit,
-}
-
-/// Where a request stands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StatementStage {
-    /// Not given to any connection.
-    Waiting,
-    /// The connection is being readied; the statement itself has not been sent.
-    Setup(u64),
-    /// Sent at this moment.
-    Sent(u64, Instant),
-}
-
-/// A statement that goes to an instance.
-#[derive(Debug)]
-pub struct PendingStatement {
-    pub number: u64,
-    pub id: String,
-    pub text: String,
-    pub kind: StatementKind,
-    /// For `RUN`: the shape, and what follows the name.
-    pub run: Option<(Shape, String)>,
-    pub route: Route,
-    pub tenant: String,
-    pub arrived: Instant,
-    pub stage: StatementStage,
-    /// Instances that turned this try away or fell silent.
-    pub tried: Vec<String>,
-    /// Answers that promised it had not run, so far.
-    pub promises: u32,
-    /// Its tenant's limit lets it through, or it has waited for that.
-    pub admitted: bool,
-    pub waited_for_rights: bool,
-    /// It stands in the usage counts.
-    pub counted: bool,
-    /// Since when it waits for a connection.
-    pub queued: Option<Instant>,
+/// A commit of the session's own, which its later reads may have to see.
+#[derive(Debug, Clone)]
+pub struct OwnCommit {
+    /// The service that it was made on.
+    pub service: String,
+    /// Its position.
+    pub position: Position,
+    /// When it was acknowledged.
+    pub acknowledged_at: Instant,
 }
 
+/// A client's session.
 #[derive(Debug)]
 pub struct Session {
+    /// The database named in `CONNECT`.
     pub database: String,
+    /// The API key given in `CONNECT`.
     pub key: String,
-    /// Set once `CONNECT` was answered.
+    /// Whether `CONNECT` has been accepted.
     pub open: bool,
-    pub opened: Option<Instant>,
-    pub lines: LineReader,
-    pub values: BTreeMap<String, String>,
+    /// When it was.
+    pub opened_at: Option<Instant>,
+    /// Bytes received from the client and not yet processed.
+    pub input: LineReader,
+    /// Session variables, replayed on whatever connection serves the session.
+    pub variables: BTreeMap<String, String>,
+    /// Prepared statements by the session's name for them.
     pub prepared: HashMap<String, Shape>,
+    /// The transaction.
     pub transaction: Transaction,
+    /// The statement under way; a session has one at a time.
     pub statement: Option<PendingStatement>,
-    /// The newest own commit: its service, position, and when it was acknowledged.
-    pub last_own_commit: Option<(String, Position, Instant)>,
-    /// Since when the transaction rests.
+    /// The newest own commit.
+    pub last_own_commit: Option<OwnCommit>,
+    /// Since when a bound transaction has had no statement.
     pub idle_since: Option<Instant>,
+    /// What the client was last seen to do.
     pub client_activity: ClientActivity,
-    /// The pooler that passes it on was asked to close it, at this stage of leaving.
+    /// For a forwarded session: the pooler that forwards it has been asked to close it, in this phase.
     pub close_requested: Option<DrainPhase>,
     /// Statements of the current transaction that were sent to an instance.
     pub statements_sent: u32,
-    /// Passed on by another pooler, which was last told this version.
+    /// For a session that another pooler forwards: the configuration revision last sent to that one.
     pub forwarded_revision: Option<u64>,
-    /// Its lines wait until this version is known here.
+    /// The session's input is not processed before this configuration revision is in force here.
     pub required_revision: u64,
 }
 
 impl Session {
+    /// A session before `CONNECT`.
     pub fn new() -> Self {
         Session {
             database: String::new(),
             key: String::new(),
             open: false,
-            opened: None,
-            lines: LineReader::default(),
-            values: BTreeMap::new(),
+            opened_at: None,
+            input: LineReader::default(),
+            variables: BTreeMap::new(),
             prepared: HashMap::new(),
             transaction: Transaction::None,
             statement: None,
@@ -152,9 +81,15 @@
         }
     }
 
+    /// A session that another pooler forwards.
+    pub fn forwarded() -> Self {
+        Session { forwarded_revision: Some(0), ..Session::new() }
+    }
+
+    /// What the session has open, as far as closing it depends on that.
     pub fn session_state(&self) -> SessionState {
         match self.transaction {
-            _ if self.statement.is_some() || self.lines.waiting() > 0 => SessionState::Busy,
+            _ if self.statement.is_some() || self.input.buffered() > 0 => SessionState::Busy,
             Transaction::None => SessionState::Idle,
             _ => SessionState::InTransaction,
         }
--- a/engine/src/connection/framing.rs
+++ b/engine/src/connection/framing.rs
@@ -1,64 +1,80 @@
-//! LineReader out of bytes that arrive split anywhere.
+//! Lines out of bytes that arrive in arbitrary pieces.
 
-/// The wire's bound on one message.
+/// Greatest length of one line on the wire, in bytes.
 pub const MESSAGE_MAX: usize = 1 << 20;
 
+/// An emptied buffer larger than this is given back, in bytes: sessions are many and mostly idle.
+const RETAINED_CAPACITY_MAX: usize = 16 * 1024;
+
+/// Assembles lines.
 #[derive(Debug, Default)]
 pub struct LineReader {
     buffer: Vec<u8>,
+    /// Where the first unread line begins.
     start: usize,
+    /// Up to here no line end was found.
     scanned: usize,
 }
 
+/// The outcome of reading a line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum NextLine {
+    /// A line, without its end.
     Line(String),
-    /// Nothing whole yet.
+    /// No complete line has arrived yet.
     Partial,
-    /// The message is over the wire's bound, or is no text.
-    TooBig,
-    Garbage,
+    /// The line is longer than [`MESSAGE_MAX`].
+    TooLong,
+    /// The line is not UTF-8 or does not end with CRLF.
+    Malformed,
 }
 
 impl LineReader {
+    /// Takes received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.start == self.buffer.len() {
-            self.buffer.clear();
-            (self.start, self.scanned) = (0, 0);
+        if self.buffered() == 0 {
+            self.clear();
         }
         self.buffer.extend_from_slice(bytes);
     }
 
-    pub fn waiting(&self) -> usize {
+    /// Bytes received and not read yet.
+    pub fn buffered(&self) -> usize {
         self.buffer.len() - self.start
     }
 
-    /// Whether what waits begins with this word.
-    pub fn begins(&self, word: &str) -> bool {
+    fn clear(&mut self) {
+        self.buffer.clear();
+        self.start = 0;
+        self.scanned = 0;
+    }
+
+    /// Whether the unread bytes begin with this word.
+    pub fn starts_with(&self, word: &str) -> bool {
         self.buffer[self.start..].starts_with(word.as_bytes())
     }
 
+    /// Reads the next line.
     pub fn next_line(&mut self) -> NextLine {
         let from = self.scanned.max(self.start);
-        let Some(at) = self.buffer[from..].iter().position(|b| *b == b'\n') else {
+        let Some(offset) = self.buffer[from..].iter().position(|byte| *byte == b'\n') else {
             self.scanned = self.buffer.len();
-            return if self.waiting() > MESSAGE_MAX { NextLine::TooBig } else { NextLine::Partial };
+            return if self.buffered() > MESSAGE_MAX { NextLine::TooLong } else { NextLine::Partial };
         };
-        let end = from + at;
+        let end = from + offset;
         let line = &self.buffer[self.start..end];
         if line.len() > MESSAGE_MAX {
-            return NextLine::TooBig;
+            return NextLine::TooLong;
         }
         let next = match line.strip_suffix(b"\r").map(std::str::from_utf8) {
             Some(Ok(text)) => NextLine::Line(text.to_owned()),
-            _ => NextLine::Garbage,
+            _ => NextLine::Malformed,
         };
         self.start = end + 1;
         self.scanned = self.start;
-        if self.start == self.buffer.len() {
-            self.buffer.clear();
-            (self.start, self.scanned) = (0, 0);
-            if self.buffer.capacity() > 16 * 1024 {
+        if self.buffered() == 0 {
+            self.clear();
+            if self.buffer.capacity() > RETAINED_CAPACITY_MAX {
                 self.buffer = Vec::new();
             }
         }
@@ -67,35 +83,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_survive_any_split() {
-        let whole = b"CONNECT a b\r\nQUERY 1 READ x\r\n";
-        for cut in 0..whole.len() {
-            let mut lines = LineReader::default();
-            let mut seen = Vec::new();
-            for part in [&whole[..cut], &whole[cut..]] {
-                lines.push(part);
-                while let NextLine::Line(line) = lines.next_line() {
-                    seen.push(line);
-                }
-            }
-            assert_eq!(seen, ["CONNECT a b", "QUERY 1 READ x"]);
-        }
-    }
-
-    #[test]
-    fn over_long_and_foreign_bytes_are_told_apart() {
-        let mut lines = LineReader::default();
-        lines.push(&vec![b'a'; MESSAGE_MAX + 2]);
-        assert_eq!(lines.next_line(), NextLine::TooBig);
-        let mut lines = LineReader::default();
-        lines.push(b"\xff\xfe\r\n");
-        assert_eq!(lines.next_line(), NextLine::Garbage);
-        let mut lines = LineReader::default();
-        lines.push(b"no carriage return\n");
-        assert_eq!(lines.next_line(), NextLine::Garbage);
-    }
-}
+mod tests;
--- a/engine/src/process/forwarding/mod.rs
+++ b/engine/src/process/forwarding/mod.rs
@@ -205,7 +205,7 @@
     /// this daemon goes by or has seen at work.
     pub fn client_said(&mut self, now: Instant, bytes: &[u8], revision: u64) -> Vec<u8> {
         let mut out = Vec::with_capacity(bytes.len() + OURS_MAX);
-        self.activity.stirs(now);
+        self.activity.note_input(now);
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
             if !self.up_partial {
                 if revision > self.told {
@@ -222,7 +222,7 @@
                 let question = self.up.starts_with(b"QUERY ") || self.up.starts_with(b"CONNECT");
                 self.outstanding += u64::from(question);
                 if self.up.starts_with(b"QUERY ") {
-                    self.activity.asked(now);
+                    self.activity.note_statement(now);
                 }
             }
         }
@@ -259,7 +259,7 @@
                 self.outstanding = self.outstanding.saturating_sub(1);
                 let before = std::mem::replace(&mut self.state, rest.first().copied().unwrap_or(b'I'));
                 // In a transaction what the carrier answers by itself is its beginning or its end.
-                self.activity.answered(self.own && before == b'I');
+                self.activity.note_answer(self.own && before == b'I');
             }
             self.own = line.starts_with(b"DONE - ") || line.starts_with(b"DONE -\r");
             self.error = line.starts_with(b"ERROR ");
@@ -308,7 +308,7 @@
         if self.state != b'I' {
             self.state = b'E';
         }
-        self.activity.answered(false);
+        self.activity.note_answer(false);
         self.last_word(&RequestError::unsure("the daemon that served this session is gone"))
     }
 
@@ -328,7 +328,7 @@
         if count > 0 && self.state != b'I' {
             self.state = b'E';
         }
-        self.activity.answered(false);
+        self.activity.note_answer(false);
         (0..count).map(|_| self.last_word(&error)).collect()
     }
 }
--- a/engine/src/process/leadership/mod.rs
+++ b/engine/src/process/leadership/mod.rs
@@ -73,7 +73,7 @@
         let mut fields = row.split(' ');
         let role = fields.next();
         let term = fields.next().and_then(|t| t.parse().ok());
-        let received = fields.next().and_then(Position::read);
+        let received = fields.next().and_then(Position::parse);
         match (role, term, received) {
             (Some(role), Some(term), Some(received)) => {
                 HealthCheckResult::Status { primary: role == "primary", term, received }
--- a/pooler/src/driver.rs
+++ b/pooler/src/driver.rs
@@ -1,6 +1,6 @@
 //! Joins the state machines to sockets, signals and the clock.
 
-use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
+use lichenfield_engine::connection::draining::{DrainPhase, SESSIONS_CLOSED_PER_STEP};
 use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
 use lichenfield_engine::process::dissemination::tree::DisseminationTree;
 use lichenfield_engine::process::forwarding::{self, ForwardedSession};
@@ -236,7 +236,7 @@
             let effects = {
                 let mut pooler = self.pooler.borrow_mut();
                 pooler.finish_input(now);
-                pooler.effects()
+                pooler.take_effects()
             };
             if effects.is_empty() {
                 break;
@@ -251,7 +251,7 @@
 
     fn one(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::ToClient(session_id, text) => {
+            Effect::SendToClient(session_id, text) => {
                 if let Some(pipe) = self.clients.borrow().get(&session_id) {
                     pipe.write(text.as_bytes());
                 }
@@ -261,13 +261,13 @@
                     pipe.close();
                 }
             }
-            Effect::CloseIfIdle(session_id) => {
+            Effect::CloseClientIfIdle(session_id) => {
                 let now = Instant::now();
                 if self.part(now, session_id) {
                     self.pooler.borrow_mut().handle_client_closed(now, session_id);
                 }
             }
-            Effect::ToBackend(conn, text) => {
+            Effect::SendToBackend(conn, text) => {
                 if let Some((pipe, _)) = self.instances.borrow().get(&conn) {
                     pipe.write(text.as_bytes());
                 }
@@ -280,7 +280,7 @@
                     drop(task);
                 }
             }
-            Effect::Send(to, message) => self.links.send(to, &message),
+            Effect::SendToPeer(to, message) => self.links.send(to, &message),
             Effect::Log(note) => tracing::info!("{note}"),
         }
     }
@@ -295,7 +295,7 @@
         if pipe.has_unread() {
             self.pooler.borrow_mut().note_unread_bytes(now, session_id);
             if let Some(far) = self.far.borrow_mut().get_mut(&session_id) {
-                far.session.activity.stirs(now);
+                far.session.activity.note_input(now);
             }
             return false;
         }
@@ -314,7 +314,7 @@
     /// PoolerShares with a session that is passed on, if it may go now.
     fn part_far(&self, now: Instant, session_id: SessionId, answered: bool) {
         let phase = self.phase(now);
-        if !answered && phase < DrainPhase::Closing && !self.pooler.borrow().link_is_free(now) {
+        if !answered && phase < DrainPhase::Closing && !self.pooler.borrow().link_is_responsive(now) {
             return;
         }
         let may = |f: &CarrierLink| f.session.may_close(now, phase, answered);
@@ -449,7 +449,7 @@
         far.client.write(&heard.down);
         drop(all);
         let now = Instant::now();
-        if heard.part && self.pooler.borrow().link_is_free(now) {
+        if heard.part && self.pooler.borrow().link_is_responsive(now) {
             self.part(now, session_id);
         } else if !heard.down.is_empty() {
             self.part_far(now, session_id, true);
@@ -551,7 +551,7 @@
             }
             let may = |f: &CarrierLink| f.session.may_close(now, phase, false);
             let going: Vec<SessionId> = self.far.borrow().iter().filter(|(_, f)| may(f)).map(|(s, _)| *s).collect();
-            let most = if phase == DrainPhase::Closing { going.len() } else { CLOSED_AT_ONCE };
+            let most = if phase == DrainPhase::Closing { going.len() } else { SESSIONS_CLOSED_PER_STEP };
             going.into_iter().take(most).for_each(|session_id| self.part_far(now, session_id, false));
             self.perform(now);
         }
--- a/simulator/src/instance.rs
+++ b/simulator/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::judge::{Commit, Judge};
 use lichenfield_engine::connection::framing::{LineReader, NextLine};
-use lichenfield_engine::request::statement::{Statement, parse, word};
+use lichenfield_engine::request::statement::{Statement, parse, split_word};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -148,7 +148,7 @@
     }
 
     fn one(&mut self, now: Duration, line: &mut Line, text: &str, log: &mut Log, judge: &mut Judge) -> (String, bool) {
-        let (kind, rest) = word(text);
+        let (kind, rest) = split_word(text);
         let at = |line: &Line, position: (u64, u64)| format!("READY {} {}.{}\r\n", line.state, position.0, position.1);
         if kind == "CONNECT" {
             let fields: Vec<&str> = rest.split(' ').collect();
@@ -162,10 +162,10 @@
         if kind != "QUERY" || !line.open {
             return (String::new(), true);
         }
-        let (id, mut body) = word(rest);
+        let (id, mut body) = split_word(rest);
         let mut told = self.received;
         if let Some(tail) = body.strip_prefix("WAITFOR ") {
-            let (position, tail) = word(tail);
+            let (position, tail) = split_word(tail);
             let wanted = position
                 .split_once('.')
                 .map(|(t, n)| (t.parse().unwrap_or(0), n.parse().unwrap_or(0)))
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -3,7 +3,7 @@
 use crate::instance::{self, Instance, Log};
 use crate::judge::{End, Judge};
 use lichenfield_engine::connection::client_session::Position;
-use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
+use lichenfield_engine::connection::draining::{DrainPhase, SESSIONS_CLOSED_PER_STEP};
 use lichenfield_engine::process::consensus::{Entry, PersistentState, Role, Write};
 use lichenfield_engine::process::controller::{self, Controller, Request};
 use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
@@ -707,7 +707,7 @@
                 let mut effects = Vec::new();
                 loop {
                     pooler.finish_input(now);
-                    let more = pooler.effects();
+                    let more = pooler.take_effects();
                     if more.is_empty() {
                         break;
                     }
@@ -725,7 +725,7 @@
                 }
                 for effect in effects {
                     match effect {
-                        pooler::Effect::Send(to, message) => sends.push((to, message)),
+                        pooler::Effect::SendToPeer(to, message) => sends.push((to, message)),
                         effect => self.perform_pooler_effect(n, incarnation, effect),
                     }
                 }
@@ -883,7 +883,7 @@
 
     fn perform_pooler_effect(&mut self, n: usize, incarnation: u32, effect: pooler::Effect) {
         match effect {
-            pooler::Effect::ToClient(session_id, mut text) => {
+            pooler::Effect::SendToClient(session_id, mut text) => {
                 if let Some((door, session)) = self.forwarded_sessions.get_mut(&session_id) {
                     let heard = session.carrier_said(text.as_bytes());
                     text = String::from_utf8_lossy(&heard.down).into_owned();
@@ -905,7 +905,7 @@
                 self.tell(session_id, self.lag, text);
             }
             pooler::Effect::CloseClient(session_id) => self.hang_up(session_id),
-            pooler::Effect::CloseIfIdle(session_id) => self.part(session_id),
+            pooler::Effect::CloseClientIfIdle(session_id) => self.part(session_id),
             pooler::Effect::OpenBackend(conn, address) => {
                 let i = self.instances.iter().position(|i| i.address() == address.to_string());
                 match i {
@@ -915,7 +915,7 @@
                     _ => self.after(Duration::from_millis(1), Event::FromInstance(n, incarnation, conn, 0, None)),
                 }
             }
-            pooler::Effect::ToBackend(conn, text) => {
+            pooler::Effect::SendToBackend(conn, text) => {
                 if let Some(i) = self.conns.get(&(n, incarnation, conn)).copied() {
                     let delay = self.delay();
                     self.after(delay, Event::ToInstance(n, incarnation, conn, i, text));
@@ -926,7 +926,7 @@
                     self.instances[i].lines.remove(&line_key((n, incarnation, conn)));
                 }
             }
-            pooler::Effect::Send(..) | pooler::Effect::Log(_) => {}
+            pooler::Effect::SendToPeer(..) | pooler::Effect::Log(_) => {}
         }
     }
 
@@ -956,7 +956,7 @@
         let now = self.at();
         let Some((n, _)) = self.sessions.get(&session_id).copied() else { return };
         if let Some((_, session)) = self.forwarded_sessions.get_mut(&session_id) {
-            session.activity.stirs(now);
+            session.activity.note_input(now);
         } else if let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &mut self.nodes[n].kind {
             pooler.note_unread_bytes(now, session_id);
         }
@@ -997,7 +997,8 @@
             let Some((_, session)) = self.forwarded_sessions.get_mut(&session_id) else { continue };
             let cuts = phase == DrainPhase::Closing || (phase == DrainPhase::RollingBack && session.is_open());
             let last = if cuts && !session.is_severed() { session.sever() } else { String::new() };
-            let may = session.may_close(now, phase, false) && (closed < CLOSED_AT_ONCE || phase == DrainPhase::Closing);
+            let may = session.may_close(now, phase, false)
+                && (closed < SESSIONS_CLOSED_PER_STEP || phase == DrainPhase::Closing);
             self.tell(session_id, self.lag, last);
             if may {
                 closed += 1;
@@ -1291,7 +1292,7 @@
     }
 
     fn client_fails(&mut self, c: usize, session_id: u64, code: &str) {
-        let promise = lichenfield_engine::request::error::is_promise(code);
+        let promise = lichenfield_engine::request::error::guarantees_not_executed(code);
         let end = if promise || !self.clients[c].commit_sent { End::Promised } else { End::Unclear };
         self.note_end(c, end);
         self.clients[c].script.clear();
