--- a/engine/src/connection/backend_connection.rs
+++ b/engine/src/connection/backend_connection.rs
@@ -41,8 +41,8 @@
     Idle,
     /// Serves this session.
     Busy(SessionId),
-    /// Its session gave up on the answer, which is awaited and dropped before the connection is used again.
-    Parked,
+    /// Serves no session; an answer that none wants is awaited and dropped before the connection is used again.
+    Detached,
     /// Asks for the primary's position.
     QueryingPosition,
 }
--- a/engine/src/connection/draining/tests.rs
+++ b/engine/src/connection/draining/tests.rs
@@ -26,7 +26,7 @@
     assert!(activity.may_close(at(2250), SessionState::Idle, DrainPhase::Draining, false));
     assert!(
         !activity.may_close(at(2250), SessionState::InTransaction, DrainPhase::RollingBack, false),
-        "its client is to be told first"
+        "its client has to be notified first"
     );
     assert!(activity.may_close(at(2250), SessionState::InTransaction, DrainPhase::Closing, false));
 }
--- a/engine/src/process/pooler/admission.rs
+++ b/engine/src/process/pooler/admission.rs
@@ -121,7 +121,7 @@
                 false
             }
             SpendOutcome::Exhausted => {
-                let error = RequestError::busy("the tenant is at its limit; come back in 200 ms");
+                let error = RequestError::busy("the tenant is at its limit; retry in 200 ms");
                 self.reply_error(now, session_id, &error);
                 false
             }
--- a/engine/src/process/pooler/answers.rs
+++ b/engine/src/process/pooler/answers.rs
@@ -28,28 +28,27 @@
     }
 
     fn handle_answer(&mut self, now: Instant, connection_id: ConnectionId, received: ReceivedAnswer) {
-        let ReceivedAnswer { expected, sent_at, answer } = received;
-        self.record_position(now, connection_id, sent_at, &answer);
-        match expected {
-            ExpectedAnswer::Greeting => self.handle_greeting(now, connection_id, sent_at, &answer),
-            ExpectedAnswer::Setup => self.handle_setup_answer(now, connection_id, answer),
+        self.record_position(now, connection_id, &received);
+        match received.expected {
+            ExpectedAnswer::Greeting => self.handle_greeting(now, connection_id, &received),
+            ExpectedAnswer::Setup => self.handle_setup_answer(now, connection_id, received.answer),
             ExpectedAnswer::Statement => match self.connections.session_of(connection_id) {
-                Some(session_id) => self.handle_statement_answer(now, session_id, connection_id, sent_at, answer),
-                None => self.unpark(now, connection_id),
+                Some(session_id) => self.handle_statement_answer(now, session_id, connection_id, received),
+                None => self.reuse_detached_connection(now, connection_id),
             },
-            ExpectedAnswer::Rollback if answer.state == 'I' => self.release_connection(now, connection_id),
+            ExpectedAnswer::Rollback if received.answer.state == 'I' => self.release_connection(now, connection_id),
             ExpectedAnswer::Rollback => self.close_connection(now, connection_id),
             ExpectedAnswer::Status => self.finish_position_query(now, connection_id),
         }
     }
 
-    fn handle_greeting(&mut self, now: Instant, connection_id: ConnectionId, sent_at: Instant, answer: &Answer) {
+    fn handle_greeting(&mut self, now: Instant, connection_id: ConnectionId, greeting: &ReceivedAnswer) {
         let Some(connection) = self.connections.get(connection_id) else { return };
         let pool = self.instances.get_mut(&connection.instance);
-        match &answer.code {
+        match &greeting.answer.code {
             None => {
                 if let Some(pool) = pool {
-                    pool.record_open_latency(now.duration_since(sent_at));
+                    pool.record_open_latency(now.duration_since(greeting.sent_at));
                 }
                 self.release_connection(now, connection_id);
             }
@@ -77,7 +76,7 @@
     /// The connection is prepared, or that failed.
     fn finish_setup(&mut self, now: Instant, connection_id: ConnectionId) {
         let Some(session_id) = self.connections.session_of(connection_id) else {
-            return self.unpark(now, connection_id);
+            return self.reuse_detached_connection(now, connection_id);
         };
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
         match connection.setup_error.take() {
@@ -121,10 +120,9 @@
         now: Instant,
         session_id: SessionId,
         connection_id: ConnectionId,
-        sent_at: Instant,
-        answer: Answer,
+        received: ReceivedAnswer,
     ) {
-        self.record_statement_answer(now, connection_id, sent_at, &answer);
+        self.record_statement_answer(now, connection_id, &received);
         if self.sessions.statement(session_id).is_none() {
             return;
         }
@@ -132,39 +130,32 @@
         if !self.may_use_connection(now, connection_id) {
             return self.close_connection(now, connection_id);
         }
-        if let Some(code) = &answer.code
-            && self.handle_error_answer(now, session_id, connection_id, code, answer.state)
-        {
+        if self.handle_error_answer(now, session_id, connection_id, &received.answer) {
             return;
         }
-        self.deliver_answer(now, session_id, connection_id, answer);
+        self.deliver_answer(now, session_id, connection_id, received.answer);
     }
 
-    fn record_statement_answer(
-        &mut self,
-        now: Instant,
-        connection_id: ConnectionId,
-        sent_at: Instant,
-        answer: &Answer,
-    ) {
+    fn record_statement_answer(&mut self, now: Instant, connection_id: ConnectionId, received: &ReceivedAnswer) {
         let Some(connection) = self.connections.get(connection_id) else { return };
         let Some(pool) = self.instances.get_mut(&connection.instance) else { return };
-        pool.record_latency(now.duration_since(sent_at));
-        if answer.code.is_none() {
+        pool.record_latency(now.duration_since(received.sent_at));
+        if received.answer.code.is_none() {
             pool.increase_concurrency();
         }
         self.instances.mark_serviceable_if_queued(&connection.instance);
     }
 
-    /// Reacts to an error; whether the statement is tried again, so that its client does not see the error.
+    /// Reacts to an error, if the answer is one; whether the statement is tried again, so that its client does not see
+    /// the error.
     fn handle_error_answer(
         &mut self,
         now: Instant,
         session_id: SessionId,
         connection_id: ConnectionId,
-        code: &str,
-        answered_state: char,
+        answer: &Answer,
     ) -> bool {
+        let Some(code) = &answer.code else { return false };
         if guarantees_not_executed(code) || code == "UNKNOWN" {
             self.uncount_usage(session_id);
         }
@@ -177,7 +168,7 @@
         let Some((session, statement)) = self.sessions.with_statement(session_id) else { return false };
         // The error ended the transaction, and nothing of it had been executed before.
         let transaction_only_statement =
-            session.transaction.is_bound() && answered_state != 'T' && session.statements_sent == 1;
+            session.transaction.is_bound() && answer.state != 'T' && session.statements_sent == 1;
         let only_statement = session.transaction.is_none() || transaction_only_statement;
         if !retry::may_retry_refused(code, statement.kind, only_statement) {
             return false;
--- a/engine/src/process/pooler/attempts.rs
+++ b/engine/src/process/pooler/attempts.rs
@@ -22,7 +22,7 @@
         let refusals = statement.refusals;
         let service = statement.route.service.clone();
         if now >= retry::queue_deadline(statement) {
-            let error = RequestError::busy("every instance is busy; come back in 50 ms");
+            let error = RequestError::busy("every instance is busy; retry in 50 ms");
             return self.reply_error(now, session_id, &error);
         }
         match code {
@@ -126,7 +126,7 @@
         let statement = self.sessions.find(statement_ref);
         if statement.is_some_and(|statement| statement.stage == StatementStage::Waiting) {
             self.remove_from_queues(session_id);
-            let error = RequestError::busy("no instance could take it; come back in 100 ms");
+            let error = RequestError::busy("no instance was available; retry in 100 ms");
             self.reply_error(now, session_id, &error);
             self.process_input(now, session_id);
         }
@@ -143,7 +143,7 @@
         self.remove_from_queues(session_id);
         if let Some(connection_id) = connection_id {
             if error.may_have_executed() || scope != TransactionScope::Started {
-                self.park(now, connection_id);
+                self.detach_connection(now, connection_id);
             } else {
                 self.discard_connection(now, connection_id);
             }
@@ -193,7 +193,7 @@
             statement.stage = StatementStage::Waiting;
         }
         self.avoid_instance(session_id, &id);
-        self.park(now, connection_id);
+        self.detach_connection(now, connection_id);
         self.dispatch(now, session_id);
     }
 
--- a/engine/src/process/pooler/connections.rs
+++ b/engine/src/process/pooler/connections.rs
@@ -1,6 +1,6 @@
 //! What happens to a connection once its session is done with it, and when it is lost.
 
-use super::timeouts::PARK_TIMEOUT;
+use super::timeouts::DETACHED_TIMEOUT;
 use super::timers::Timer;
 use super::{ConnectionId, Effect, Pooler};
 use crate::connection::backend_connection::{BackendConnection, ConnectionState, ExpectedAnswer};
@@ -54,18 +54,18 @@
     }
 
     /// The session does not want the answer any more: the connection is free once it has come.
-    pub(super) fn park(&mut self, now: Instant, connection_id: ConnectionId) {
+    pub(super) fn detach_connection(&mut self, now: Instant, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(connection_id) else { return };
         if connection.outstanding.is_empty() {
-            return self.unpark(now, connection_id);
+            return self.reuse_detached_connection(now, connection_id);
         }
-        connection.state = ConnectionState::Parked;
+        connection.state = ConnectionState::Detached;
         connection.since = now;
-        self.timers.schedule(now + PARK_TIMEOUT, Timer::Connection { connection_id, since: now });
+        self.timers.schedule(now + DETACHED_TIMEOUT, Timer::Connection { connection_id, since: now });
     }
 
     /// An answer that no session wants has come.
-    pub(super) fn unpark(&mut self, now: Instant, connection_id: ConnectionId) {
+    pub(super) fn reuse_detached_connection(&mut self, now: Instant, connection_id: ConnectionId) {
         let Some(connection) = self.connections.get(connection_id) else { return };
         if !connection.outstanding.is_empty() {
             return;
@@ -85,11 +85,11 @@
         if connection.transaction_state == 'I' && connection.outstanding.is_empty() {
             return self.release_connection(now, connection_id);
         }
-        connection.state = ConnectionState::Parked;
+        connection.state = ConnectionState::Detached;
         connection.since = now;
         connection.expect(ExpectedAnswer::Rollback, now);
         self.effects.push(Effect::SendToBackend(connection_id, "QUERY - ROLLBACK\r\n".into()));
-        self.timers.schedule(now + PARK_TIMEOUT, Timer::Connection { connection_id, since: now });
+        self.timers.schedule(now + DETACHED_TIMEOUT, Timer::Connection { connection_id, since: now });
     }
 
     // Ends.
@@ -97,7 +97,7 @@
     /// Closes a connection whose session the caller takes care of.
     pub(super) fn discard_connection(&mut self, now: Instant, connection_id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(connection_id) {
-            connection.state = ConnectionState::Parked;
+            connection.state = ConnectionState::Detached;
         }
         self.close_connection(now, connection_id);
     }
@@ -113,7 +113,7 @@
     /// Forgets a connection that has ended and settles whatever was on it.
     fn lose_connection(&mut self, now: Instant, connection_id: ConnectionId) {
         let Some(connection) = self.connections.remove(connection_id) else { return };
-        self.detach(connection_id, &connection);
+        self.remove_from_pool(connection_id, &connection);
         if connection.is_opening() {
             self.retry_queue_if_ejected(now, &connection.instance);
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    fn detach(&mut self, connection_id: ConnectionId, connection: &BackendConnection) {
+    fn remove_from_pool(&mut self, connection_id: ConnectionId, connection: &BackendConnection) {
         if let Some(pool) = self.instances.get_mut(&connection.instance) {
             pool.connections.retain(|other| *other != connection_id);
         }
--- a/engine/src/process/pooler/draining.rs
+++ b/engine/src/process/pooler/draining.rs
@@ -100,7 +100,7 @@
     pub(super) fn refuse_at_shutdown(&mut self, now: Instant, session_id: SessionId) {
         let Some(session) = self.sessions.get_mut(session_id) else { return };
         if session.transaction.is_none() {
-            let error = RequestError::busy("this daemon ends; come back at once, elsewhere");
+            let error = RequestError::busy("the pooler is shutting down; reconnect to another one");
             return self.reply_error(now, session_id, &error);
         }
         let failed = Transaction::Failed { notified: true };
@@ -108,7 +108,7 @@
         if let Some(connection_id) = transaction.connection_id() {
             self.roll_back(now, connection_id);
         }
-        let error = RequestError::aborted("this daemon ends; the transaction is rolled back");
+        let error = RequestError::aborted("the pooler is shutting down; the transaction is rolled back");
         self.reply_error(now, session_id, &error);
     }
 }
--- a/engine/src/process/pooler/freshness.rs
+++ b/engine/src/process/pooler/freshness.rs
@@ -5,7 +5,7 @@
 use super::timers::Timer;
 use super::{Effect, Pooler};
 use crate::connection::ConnectionId;
-use crate::connection::backend_connection::{Answer, ConnectionState, ExpectedAnswer};
+use crate::connection::backend_connection::{ConnectionState, ExpectedAnswer, ReceivedAnswer};
 use crate::connection::client_session::{PendingStatement, Position, Session};
 
 use crate::version::config::Kind;
@@ -80,15 +80,9 @@
     }
 
     /// Learns the instance's position from an answer; from a primary's answer, also how fresh reads are.
-    pub(super) fn record_position(
-        &mut self,
-        now: Instant,
-        connection_id: ConnectionId,
-        sent_at: Instant,
-        answer: &Answer,
-    ) {
+    pub(super) fn record_position(&mut self, now: Instant, connection_id: ConnectionId, received: &ReceivedAnswer) {
         let Some(connection) = self.connections.get(connection_id) else { return };
-        let Some(position) = answer.position else { return };
+        let Some(position) = received.answer.position else { return };
         if let Some(pool) = self.instances.get_mut(&connection.instance) {
             pool.position = Some(position);
         }
@@ -98,7 +92,7 @@
             return;
         }
         let Some(service) = self.services.get_mut(&service_name) else { return };
-        if service.epoch != epoch || !service.observations.record(now, sent_at, position) {
+        if service.epoch != epoch || !service.observations.record(now, received.sent_at, position) {
             return;
         }
         if !service.held_sessions.is_empty() {
--- a/engine/src/process/pooler/queueing.rs
+++ b/engine/src/process/pooler/queueing.rs
@@ -31,11 +31,11 @@
     tenant: String,
 }
 
-/// What a look through an instance's queue found.
+/// What a pass over an instance's queue found; the first by priority of each.
 #[derive(Default)]
 struct QueueScan {
-    best_match: Option<Match>,
-    worst_shortage: Option<Shortage>,
+    first_match: Option<Match>,
+    first_shortage: Option<Shortage>,
     /// Queued sessions that no longer wait.
     departed: Vec<SessionId>,
 }
@@ -107,14 +107,14 @@
         {
             pool.queue.retain(|session_id| !scan.departed.contains(session_id));
         }
-        if let Some(found) = scan.best_match {
+        if let Some(found) = scan.first_match {
             if let Some(pool) = self.instances.get_mut(id) {
                 pool.dequeue(found.session_id);
             }
             self.serve(now, id, &found);
             return true;
         }
-        if let Some(shortage) = scan.worst_shortage {
+        if let Some(shortage) = scan.first_shortage {
             self.open_connection_for_tenant(now, id, &shortage.tenant);
         }
         false
@@ -131,13 +131,13 @@
             };
             let priority = priority(statement);
             if let Some(connection_id) = pool.idle_connection(&self.connections, &statement.tenant) {
-                if scan.best_match.as_ref().is_none_or(|best| priority < best.priority) {
-                    scan.best_match = Some(Match { priority, session_id, connection_id });
+                if scan.first_match.as_ref().is_none_or(|first| priority < first.priority) {
+                    scan.first_match = Some(Match { priority, session_id, connection_id });
                 }
             } else if self.may_open_connection(now, session_id, id)
-                && scan.worst_shortage.as_ref().is_none_or(|worst| priority < worst.priority)
+                && scan.first_shortage.as_ref().is_none_or(|first| priority < first.priority)
             {
-                scan.worst_shortage = Some(Shortage { priority, tenant: statement.tenant.clone() });
+                scan.first_shortage = Some(Shortage { priority, tenant: statement.tenant.clone() });
             }
         }
         scan
--- a/engine/src/process/pooler/retry.rs
+++ b/engine/src/process/pooler/retry.rs
@@ -108,7 +108,7 @@
     let sent = matches!(stage, StatementStage::Sent(..));
     let started = scope == TransactionScope::Started;
     if !sent && !started {
-        RequestError::busy("no instance could take it in time")
+        RequestError::busy("no instance was available in time")
     } else if started && kind != StatementKind::Commit {
         RequestError::aborted("the statement took too long; the transaction is rolled back")
     } else {
@@ -121,10 +121,14 @@
     let sent = matches!(stage, StatementStage::Sent(..));
     let started = scope == TransactionScope::Started;
     match kind {
-        StatementKind::Commit if sent => RequestError::unsure("this daemon ends; the commit may stand"),
-        StatementKind::Write if sent && !started => RequestError::unsure("this daemon ends; the write may stand"),
-        _ if started => RequestError::aborted("this daemon ends; the transaction is rolled back"),
-        _ => RequestError::busy("this daemon ends; come back at once, elsewhere"),
+        StatementKind::Commit if sent => {
+            RequestError::unsure("the pooler is shutting down; the commit may have taken effect")
+        }
+        StatementKind::Write if sent && !started => {
+            RequestError::unsure("the pooler is shutting down; the write may have taken effect")
+        }
+        _ if started => RequestError::aborted("the pooler is shutting down; the transaction is rolled back"),
+        _ => RequestError::busy("the pooler is shutting down; reconnect to another one"),
     }
 }
 
--- a/engine/src/process/pooler/sessions.rs
+++ b/engine/src/process/pooler/sessions.rs
@@ -1,6 +1,7 @@
 //! Clients' sessions: from bytes to lines, from lines to requests.
 
 use super::limits::SESSION_INPUT_MAX;
+use super::statements::Query;
 use super::{Effect, Pooler, SessionId};
 use crate::connection::client_session::{Session, Transaction};
 use crate::connection::framing::NextLine;
@@ -35,7 +36,7 @@
         let Some(session) = self.sessions.get_mut(session_id) else { return };
         session.input.push(bytes);
         if session.input.buffered() > SESSION_INPUT_MAX {
-            let error = RequestError::rejected("TOOBIG", "too much at once");
+            let error = RequestError::rejected("TOOBIG", "too many bytes are queued");
             return self.refuse_session(now, session_id, &error);
         }
         self.process_input(now, session_id);
@@ -71,7 +72,7 @@
     fn end_session(&mut self, now: Instant, session_id: SessionId) {
         let Some(session) = self.sessions.remove(session_id) else { return };
         if let Some(connection_id) = session.statement.and_then(|statement| statement.connection_id()) {
-            self.park(now, connection_id);
+            self.detach_connection(now, connection_id);
         } else if let Some(connection_id) = session.transaction.connection_id() {
             self.roll_back(now, connection_id);
         }
@@ -112,8 +113,12 @@
         match session.input.next_line() {
             NextLine::Partial => NextInput::Wait,
             NextLine::Line(line) => NextInput::Line(line),
-            NextLine::TooLong => NextInput::Violation(RequestError::rejected("TOOBIG", "a message is 1 MiB at most")),
-            NextLine::Malformed => NextInput::Violation(RequestError::malformed("not a line of the wire")),
+            NextLine::TooLong => {
+                NextInput::Violation(RequestError::rejected("TOOBIG", "a message may have 1 MiB at most"))
+            }
+            NextLine::Malformed => {
+                NextInput::Violation(RequestError::malformed("not a UTF-8 line that ends with CRLF"))
+            }
         }
     }
 
@@ -127,7 +132,7 @@
             }
             "CONNECT" if !session.open => self.handle_connect(now, session_id, rest),
             "QUERY" if session.open => self.handle_query(now, session_id, rest),
-            _ => self.refuse_session(now, session_id, &RequestError::malformed("not expected here")),
+            _ => self.refuse_session(now, session_id, &RequestError::malformed("unexpected message")),
         }
     }
 
@@ -153,7 +158,7 @@
 
     fn authorize_connect(&self, database: &str, key: &str) -> Result<(), RequestError> {
         if self.closing {
-            return Err(RequestError::busy("this daemon ends; come back at once, elsewhere"));
+            return Err(RequestError::busy("the pooler is shutting down; reconnect to another one"));
         }
         self.configuration.authorize(database, key).map(|_tenant| ())
     }
@@ -165,8 +170,10 @@
         }
         let (id, text) = split_word(arguments);
         match statement::parse(text) {
-            Some(statement) if !id.is_empty() => self.handle_statement(now, session_id, id, text, statement),
-            _ => self.reply_rejection(now, session_id, &RequestError::malformed("can't be read")),
+            Some(statement) if !id.is_empty() => {
+                self.handle_statement(now, session_id, Query { id, text, statement });
+            }
+            _ => self.reply_rejection(now, session_id, &RequestError::malformed("the statement cannot be parsed")),
         }
     }
 
--- a/engine/src/process/pooler/statements.rs
+++ b/engine/src/process/pooler/statements.rs
@@ -27,6 +27,16 @@
     }
 }
 
+/// A client's `QUERY` line.
+pub(super) struct Query<'a> {
+    /// The client's id for it.
+    pub id: &'a str,
+    /// The statement's text.
+    pub text: &'a str,
+    /// The statement.
+    pub statement: Statement,
+}
+
 /// The route and tenant of a statement.
 struct Authorization {
     route: Route,
@@ -34,15 +44,9 @@
 }
 
 impl Pooler {
-    /// Handles a statement of the client, under the client's id for it.
-    pub(super) fn handle_statement(
-        &mut self,
-        now: Instant,
-        session_id: SessionId,
-        id: &str,
-        text: &str,
-        statement: Statement,
-    ) {
+    /// Handles a statement of the client.
+    pub(super) fn handle_statement(&mut self, now: Instant, session_id: SessionId, query: Query) {
+        let Query { id, text, statement } = query;
         if self.closing {
             return self.refuse_at_shutdown(now, session_id);
         }
@@ -51,8 +55,25 @@
             return self.answer_in_failed_transaction(now, session_id, &statement, notified);
         }
         let Some(work) = self.answer_or_assign(now, session_id, statement) else { return };
-        let Some(authorization) = self.authorize_statement(now, session_id) else { return };
-        self.submit(now, session_id, id, text, work, authorization);
+        let Some(Authorization { route, tenant }) = self.authorize_statement(now, session_id) else { return };
+        let pending = PendingStatement {
+            number: self.next_statement_number,
+            id: id.to_owned(),
+            text: text.to_owned(),
+            kind: work.kind,
+            prepared: work.prepared,
+            route,
+            tenant,
+            received_at: now,
+            stage: StatementStage::Waiting,
+            tried_instances: Vec::new(),
+            refusals: 0,
+            admitted: false,
+            waited_for_rights: false,
+            counted: false,
+            queued_at: None,
+        };
+        self.submit(now, session_id, pending);
     }
 
     /// In a failed transaction only its end is accepted. A client that has not been sent the error yet gets it now.
@@ -71,7 +92,7 @@
         let error = match statement {
             Statement::Rollback => return self.reply_done(now, session_id, false),
             Statement::Commit => RequestError::aborted("the transaction had failed and is rolled back"),
-            _ if !notified => RequestError::aborted("the transaction had to end and is rolled back"),
+            _ if !notified => RequestError::aborted("the transaction was rolled back before this statement"),
             _ => RequestError::malformed("the transaction has failed"),
         };
         self.reply_rejection(now, session_id, &error);
@@ -95,11 +116,11 @@
                 None => self.reply_rejection(now, session_id, &unknown_name(&name)),
             },
             Statement::Begin { .. } if in_transaction => {
-                self.reply_rejection(now, session_id, &RequestError::malformed("already in a transaction"));
+                self.reply_rejection(now, session_id, &RequestError::malformed("a transaction is open already"));
             }
             Statement::Begin { read } => self.begin_transaction(now, session_id, read),
             Statement::Commit | Statement::Rollback if !in_transaction => {
-                self.reply_rejection(now, session_id, &RequestError::malformed("no transaction to end"));
+                self.reply_rejection(now, session_id, &RequestError::malformed("no transaction is open"));
             }
             Statement::Rollback => self.roll_back_transaction(now, session_id),
             Statement::Commit => return Some(InstanceWork::plain(StatementKind::Commit)),
@@ -150,42 +171,20 @@
         None
     }
 
-    /// Makes the statement pending and sends it on its way. A transaction keeps the route that it began with.
-    fn submit(
-        &mut self,
-        now: Instant,
-        session_id: SessionId,
-        id: &str,
-        text: &str,
-        work: InstanceWork,
-        authorization: Authorization,
-    ) {
-        let Some(session) = self.sessions.get(session_id) else { return };
+    /// Sends the statement on its way. A transaction keeps the route that it began with.
+    fn submit(&mut self, now: Instant, session_id: SessionId, mut pending: PendingStatement) {
+        let Some(session) = self.sessions.get_mut(session_id) else { return };
+        if let Some(route) = session.transaction.route() {
+            pending.route = route.clone();
+        }
         let connection_id = session.transaction.connection_id();
-        let route = session.transaction.route().cloned().unwrap_or(authorization.route);
-        self.note_service_use(now, &route.service);
-        let number = self.next_statement_number;
+        let service = pending.route.service.clone();
+        let statement_ref = StatementRef { session_id, number: pending.number };
+        let deadline = now + pending.route.deadline;
+        session.statement = Some(pending);
         self.next_statement_number += 1;
-        self.timers.schedule(now + route.deadline, Timer::Deadline(StatementRef { session_id, number }));
-        if let Some(session) = self.sessions.get_mut(session_id) {
-            session.statement = Some(PendingStatement {
-                number,
-                id: id.to_owned(),
-                text: text.to_owned(),
-                kind: work.kind,
-                prepared: work.prepared,
-                tenant: authorization.tenant,
-                received_at: now,
-                stage: StatementStage::Waiting,
-                tried_instances: Vec::new(),
-                refusals: 0,
-                admitted: false,
-                waited_for_rights: false,
-                counted: false,
-                queued_at: None,
-                route,
-            });
-        }
+        self.note_service_use(now, &service);
+        self.timers.schedule(deadline, Timer::Deadline(statement_ref));
         match connection_id {
             Some(connection_id) => self.continue_transaction(now, session_id, connection_id),
             None => self.dispatch(now, session_id),
@@ -194,5 +193,5 @@
 }
 
 fn unknown_name(name: &str) -> RequestError {
-    RequestError::rejected("UNKNOWN", format!("no prepared name {name}"))
+    RequestError::rejected("UNKNOWN", format!("no prepared statement {name}"))
 }
--- a/engine/src/process/pooler/timeouts.rs
+++ b/engine/src/process/pooler/timeouts.rs
@@ -19,7 +19,7 @@
 /// A connection that is not prepared for its session within this is given up.
 pub(super) const SETUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// An answer that no session wants any more is awaited for this long before its connection is closed.
-pub(super) const PARK_TIMEOUT: Duration = Duration::from_millis(2500);
+pub(super) const DETACHED_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a transaction may be idle where no configuration says.
 pub(super) const DEFAULT_TRANSACTION_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
