--- a/engine/src/process/pooler/configuration.rs
+++ b/engine/src/process/pooler/configuration.rs
@@ -61,3 +61,6 @@
         self.current.as_ref().map_or(DEFAULT_TRANSACTION_IDLE_TIMEOUT, |config| config.tx_rest)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/engine/src/process/pooler/leader_client.rs
+++ b/engine/src/process/pooler/leader_client.rs
@@ -132,3 +132,6 @@
         self.round_trip < UNCONGESTED_ROUND_TRIP && now.duration_since(self.last_grant_at) < LEADER_TIMEOUT
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/engine/src/process/pooler/service_table.rs
+++ b/engine/src/process/pooler/service_table.rs
@@ -172,3 +172,6 @@
         self.last_used.keys()
     }
 }
+
+#[cfg(test)]
+mod tests;
