--- a/engine/src/process/controller/mod.rs
+++ b/engine/src/process/controller/mod.rs
@@ -3,7 +3,7 @@
 use super::consensus::{LEADER_CONFIRMATION, Parameters, PersistentState, Raft, Role, Write};
 use super::dissemination::anti_entropy::Instance;
 use super::dissemination::partial_view::{PartialView, PeerDescriptor};
-use super::dissemination::tree::DisseminationTree;
+use super::dissemination::tree::{DisseminationTree, TreeOptions};
 use super::instance_registry::{self, InstanceRegistry};
 use super::leadership::{HealthCheckResult, LeaderContext, Leadership};
 use super::peer_message::PeerMessage;
@@ -106,13 +106,13 @@
         let parameters = Parameters::new(t, LEADER_CONFIRMATION, settings.tolerance.machines);
         let proposer = rng.u64(1..);
         let raft = Raft::new(now, settings.ip, parameters, stored, rng.fork());
-        let relay = DisseminationTree::new(
-            now,
-            PartialView::new(descriptor.clone(), rng.fork()),
-            seeds.clone(),
-            true,
-            settings.limits.link_mbps,
-        );
+        let tree_options = TreeOptions {
+            partial_view: PartialView::new(descriptor.clone(), rng.fork()),
+            seeds: seeds.clone(),
+            is_root: true,
+            link_mbps: settings.limits.link_mbps,
+        };
+        let relay = DisseminationTree::new(now, tree_options);
         let beat = Duration::from_millis(settings.beat_ms);
         let bounds: TimingBounds = settings.timing_bounds.clone();
         let leadership = Leadership::new(now, &settings.node_name, bounds, beat, settings.platform.clone());
@@ -255,12 +255,12 @@
         if now >= self.gossip_due {
             self.gossip_due = now + GOSSIP;
             let beats = self.registry.recent_heartbeats(now, GOSSIP + GOSSIP / 2);
-            let digests = self.relay.store.digests();
+            let digests = self.relay.update_store.digests();
             for to in self.others() {
-                self.send(to, PeerMessage::InstanceHeartbeats { beats: beats.clone(), digests });
+                self.send(to, PeerMessage::InstanceHeartbeats { heartbeats: beats.clone(), digests });
             }
             for id in self.registry.remove_expired(now) {
-                self.relay.store.remove(&instance_registry::key(&id));
+                self.relay.update_store.remove(&instance_registry::key(&id));
             }
         }
         self.push_proposals(now);
--- a/engine/src/process/controller/peer_messages.rs
+++ b/engine/src/process/controller/peer_messages.rs
@@ -7,7 +7,7 @@
 use crate::process::dissemination::anti_entropy::{Update, UpdateValue};
 use crate::process::dissemination::partial_view::PeerDescriptor;
 use crate::process::leadership::{self, LeaderContext};
-use crate::process::peer_message::{LeaseGrant, PeerMessage};
+use crate::process::peer_message::{GrantedLease, LeaseGrant, PeerMessage};
 use crate::version::electorate::Voter;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::{Duration, Instant};
@@ -59,33 +59,35 @@
                 self.controllers.entry(from).or_insert_with(|| (unknown(), now)).1 = now;
                 self.raft.handle_message(now, message);
             }
-            PeerMessage::Propose { mark, command } => {
+            PeerMessage::Propose { proposal_id, command } => {
                 if self.raft.role() != Role::Leader {
-                    self.send(from, PeerMessage::NotLeader { mark });
-                } else if let Some(outcome) = self.control_state.result(mark).cloned() {
-                    self.send(from, PeerMessage::ProposalDecided { mark, outcome });
-                } else if self.raft.propose(now, mark, command).is_some() {
-                    self.send(from, PeerMessage::ProposalReceived { mark });
+                    self.send(from, PeerMessage::NotLeader { proposal_id });
+                } else if let Some(outcome) = self.control_state.result(proposal_id).cloned() {
+                    self.send(from, PeerMessage::ProposalDecided { proposal_id, outcome });
+                } else if self.raft.propose(now, proposal_id, command).is_some() {
+                    self.send(from, PeerMessage::ProposalReceived { proposal_id });
                 } else {
                     // It hands its lead on, or has too much under way.
-                    self.send(from, PeerMessage::NotLeader { mark });
+                    self.send(from, PeerMessage::NotLeader { proposal_id });
                 }
             }
-            PeerMessage::ProposalReceived { mark } => {
-                if let Some(p) = self.proposals.get_mut(&mark.serial).filter(|_| mark.proposer == self.proposer) {
+            PeerMessage::ProposalReceived { proposal_id } => {
+                if let Some(p) =
+                    self.proposals.get_mut(&proposal_id.serial).filter(|_| proposal_id.proposer == self.proposer)
+                {
                     p.heard = true;
                     p.due = now + DECIDED_TIMER;
                 }
             }
-            PeerMessage::ProposalDecided { mark, outcome } if mark.proposer == self.proposer => {
-                self.decided(now, mark, &outcome)
+            PeerMessage::ProposalDecided { proposal_id, outcome } if proposal_id.proposer == self.proposer => {
+                self.decided(now, proposal_id, &outcome)
             }
             PeerMessage::NotLeader { .. } => {}
-            PeerMessage::InstanceHeartbeats { beats, digests } => {
-                self.registry.note_heartbeats(now, &beats);
-                let ranges = self.relay.store.differing_ranges(&digests);
+            PeerMessage::InstanceHeartbeats { heartbeats, digests } => {
+                self.registry.note_heartbeats(now, &heartbeats);
+                let ranges = self.relay.update_store.differing_ranges(&digests);
                 if !ranges.is_empty() {
-                    let versions = self.relay.store.versions(&ranges);
+                    let versions = self.relay.update_store.versions(&ranges);
                     self.send(from, PeerMessage::CompareVersions { ranges, versions });
                 }
             }
@@ -108,13 +110,13 @@
                     confirm: LEADER_CONFIRMATION,
                 };
                 let (leases, reported, transfers) = self.leadership.handle_lease_request(&context, from, ask);
-                let digests = (sum != self.relay.store.digest_sum()).then(|| self.relay.store.digests());
+                let digests = (sum != self.relay.update_store.digest_sum()).then(|| self.relay.update_store.digests());
                 let (span, term) = (leadership::LEASE_DURATION, self.raft.term());
                 self.send(
                     from,
                     PeerMessage::LeaseGrant(LeaseGrant {
                         nonce,
-                        leases,
+                        leases: leases.into_iter().map(|(service, epoch)| GrantedLease { service, epoch }).collect(),
                         valid_for: span,
                         reported_through: reported,
                         digests,
@@ -127,7 +129,10 @@
                 let term = self.raft.term();
                 let transfers =
                     self.leadership.grant_rights(now, term, &self.control_state, (&node, incarnation), false, needs);
-                self.send(from, PeerMessage::RightsGrant { nonce, span: leadership::LEASE_DURATION, term, transfers });
+                self.send(
+                    from,
+                    PeerMessage::RightsGrant { nonce, valid_for: leadership::LEASE_DURATION, term, transfers },
+                );
             }
             PeerMessage::LeaseReturned { service, epoch } => {
                 self.leadership.handle_lease_returned(from, &service, epoch);
--- a/engine/src/process/controller/proposals.rs
+++ b/engine/src/process/controller/proposals.rs
@@ -69,7 +69,7 @@
                 self.proposals.remove(&serial);
             } else if let Some(leader) = self.raft.leader() {
                 proposal.heard = false;
-                self.send(leader.ip, PeerMessage::Propose { mark, command });
+                self.send(leader.ip, PeerMessage::Propose { proposal_id: mark, command });
             }
         }
     }
--- a/engine/src/process/controller/quorum_gate.rs
+++ b/engine/src/process/controller/quorum_gate.rs
@@ -35,7 +35,7 @@
         self.gate.turned.retain(|_, at| now.duration_since(*at) < TURN);
         if self.gate.turned.insert(from, now).is_none() {
             let others = self.controllers.values().map(|(c, _)| c.clone()).filter(|c| c.control.is_some()).collect();
-            self.send(from, PeerMessage::AttachRejected { others });
+            self.send(from, PeerMessage::AttachRejected { alternatives: others });
         }
         true
     }
--- a/engine/src/process/dissemination/mod.rs
+++ b/engine/src/process/dissemination/mod.rs
@@ -1,4 +1,5 @@
-//! How updates reach every daemon: a tree of relays, partial views that find its members, and anti-entropy.
+//! How updates reach every daemon: down a tree of daemons, whose members find each other by partial views and
+//! mend differences by anti-entropy.
 
 pub mod anti_entropy;
 pub mod partial_view;
--- a/engine/src/process/dissemination/partial_view.rs
+++ b/engine/src/process/dissemination/partial_view.rs
@@ -1,118 +1,114 @@
-//! Partial view: each daemon knows a few others and shuffles what it knows with a neighbour.
+//! A partial view of the daemons, in the manner of Cyclon: each daemon knows a few others and shuffles what
+//! it knows with one of them.
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// How a daemon presents itself.
+#[cfg(test)]
+mod tests;
+
+/// How a daemon describes itself to others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerDescriptor {
+    /// The daemon's name.
     pub name: String,
+    /// Its address.
     pub ip: Ipv4Addr,
+    /// Its zone.
     pub zone: String,
-    /// Where instances and the operator call it, if they may.
+    /// Where instances and the operator call it; only controllers have one.
     pub control: Option<SocketAddrV4>,
     /// Shuffles since the daemon itself issued the descriptor.
     pub age: u16,
 }
 
-/// Cards kept, descriptors passed on in a shuffle, and the age at which one is let go.
-const KEPT: usize = 10;
-const PASSED: usize = 4;
-const OLD: u16 = 40;
+/// Descriptors kept in a view.
+const VIEW_SIZE: usize = 10;
+/// Descriptors sent in a shuffle, beside the sender's own.
+const SHUFFLE_LENGTH: usize = 4;
+/// Descriptors of this age, in shuffles, are dropped.
+const AGE_MAX: u16 = 40;
+/// Added to the age of a shuffle's partner, whose answer brings a fresh descriptor: another is the oldest
+/// next time, and a partner that never answers is dropped sooner.
+const PARTNER_AGE_PENALTY: u16 = AGE_MAX / 4;
 
+/// The descriptors that a daemon holds of others.
 #[derive(Debug)]
 pub struct PartialView {
-    me: PeerDescriptor,
+    own: PeerDescriptor,
     descriptors: Vec<PeerDescriptor>,
     rng: fastrand::Rng,
 }
 
 impl PartialView {
-    pub fn new(me: PeerDescriptor, rng: fastrand::Rng) -> Self {
-        PartialView { me, descriptors: Vec::new(), rng }
+    /// An empty view of the daemon that `own` describes.
+    pub fn new(own: PeerDescriptor, rng: fastrand::Rng) -> Self {
+        PartialView { own, descriptors: Vec::new(), rng }
     }
 
-    pub fn me(&self) -> &PeerDescriptor {
-        &self.me
+    /// The daemon's own descriptor.
+    pub fn own_descriptor(&self) -> &PeerDescriptor {
+        &self.own
     }
 
+    /// The descriptors of other daemons.
     pub fn descriptors(&self) -> &[PeerDescriptor] {
         &self.descriptors
     }
 
+    /// Takes descriptors that are fresher than those held, or of daemons not held yet; then drops the oldest
+    /// until the view has its size.
     pub fn merge(&mut self, descriptors: &[PeerDescriptor]) {
         for descriptor in descriptors {
-            if descriptor.ip == self.me.ip {
+            if descriptor.ip == self.own.ip {
                 continue;
             }
-            match self.descriptors.iter_mut().find(|c| c.ip == descriptor.ip) {
+            match self.descriptors.iter_mut().find(|held| held.ip == descriptor.ip) {
                 Some(held) if held.age >= descriptor.age => *held = descriptor.clone(),
                 Some(_) => {}
                 None => self.descriptors.push(descriptor.clone()),
             }
         }
-        while self.descriptors.len() > KEPT {
-            // Half of those known are of the own zone, as far as there are so many.
-            let near = self.descriptors.iter().filter(|c| c.zone == self.me.zone).count();
-            let many = |c: &PeerDescriptor| (c.zone == self.me.zone) == (near > KEPT / 2);
-            let oldest = self.descriptors.iter().enumerate().filter(|(_, c)| many(c)).max_by_key(|(_, c)| c.age);
-            let at = oldest.map_or(0, |(at, _)| at);
-            self.descriptors.swap_remove(at);
+        while self.descriptors.len() > VIEW_SIZE {
+            self.drop_oldest();
         }
     }
 
-    /// A partner for a shuffle (the oldest descriptor's) and what to tell it.
-    pub fn shuffle(&mut self) -> Option<(Ipv4Addr, Vec<PeerDescriptor>)> {
-        self.descriptors.iter_mut().for_each(|c| c.age = c.age.saturating_add(1));
-        self.descriptors.retain(|c| c.age < OLD);
-        let at = self.descriptors.iter().enumerate().max_by_key(|(_, c)| c.age).map(|(at, _)| at)?;
-        let partner = self.descriptors[at].ip;
-        let told = self.sample(partner);
-        // Kept until it answers with a fresh descriptor, but last in line.
-        self.descriptors[at].age = self.descriptors[at].age.saturating_add(OLD / 4);
-        Some((partner, told))
+    /// Drops the oldest descriptor, of the own zone if that has more than half of the view, else of the
+    /// other zones.
+    fn drop_oldest(&mut self) {
+        let own_zone = &self.own.zone;
+        let in_own_zone = self.descriptors.iter().filter(|held| held.zone == *own_zone).count();
+        let drop_from_own_zone = in_own_zone > VIEW_SIZE / 2;
+        let oldest = self
+            .descriptors
+            .iter()
+            .enumerate()
+            .filter(|(_, held)| (held.zone == *own_zone) == drop_from_own_zone)
+            .max_by_key(|(_, held)| held.age);
+        let at = oldest.map_or(0, |(at, _)| at);
+        self.descriptors.swap_remove(at);
     }
 
-    /// Some of the descriptors, with a fresh one of this daemon.
-    pub fn sample(&mut self, but: Ipv4Addr) -> Vec<PeerDescriptor> {
-        let mut some: Vec<PeerDescriptor> = self.descriptors.iter().filter(|c| c.ip != but).cloned().collect();
-        self.rng.shuffle(&mut some);
-        some.truncate(PASSED);
-        some.push(PeerDescriptor { age: 0, ..self.me.clone() });
-        some
+    /// Begins a shuffle: ages all descriptors and returns the partner, the daemon with the oldest one, with
+    /// the descriptors to send.
+    pub fn shuffle(&mut self) -> Option<(Ipv4Addr, Vec<PeerDescriptor>)> {
+        self.descriptors.iter_mut().for_each(|held| held.age = held.age.saturating_add(1));
+        self.descriptors.retain(|held| held.age < AGE_MAX);
+        let at = self.descriptors.iter().enumerate().max_by_key(|(_, held)| held.age).map(|(at, _)| at)?;
+        let partner = self.descriptors[at].ip;
+        let sample = self.sample(partner);
+        self.descriptors[at].age = self.descriptors[at].age.saturating_add(PARTNER_AGE_PENALTY);
+        Some((partner, sample))
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn views_started_from_one_seed_come_to_know_others() {
-        let descriptor = |n: u8| PeerDescriptor {
-            name: format!("n{n}"),
-            ip: Ipv4Addr::new(10, 0, 0, n),
-            zone: "z".into(),
-            control: None,
-            age: 0,
-        };
-        let mut all: Vec<PartialView> =
-            (0..20).map(|n| PartialView::new(descriptor(n), fastrand::Rng::with_seed(n.into()))).collect();
-        for view in &mut all[1..] {
-            view.merge(&[descriptor(0)]);
-        }
-        for _ in 0..12 {
-            for n in 0..all.len() {
-                if let Some((partner, told)) = all[n].shuffle() {
-                    let partner = usize::from(partner.octets()[3]);
-                    all[partner].merge(&told);
-                    let back = all[partner].sample(Ipv4Addr::new(10, 0, 0, n as u8));
-                    all[n].merge(&back);
-                }
-            }
-        }
-        let fewest = all.iter().map(|v| v.descriptors().len()).min();
-        assert!(fewest >= Some(6), "the smallest view holds {fewest:?}");
-        assert!(all.iter().all(|v| v.descriptors().len() <= KEPT));
+    /// A random sample of the descriptors, with a fresh one of this daemon; without that of `excluded`.
+    pub fn sample(&mut self, excluded: Ipv4Addr) -> Vec<PeerDescriptor> {
+        let mut sample: Vec<PeerDescriptor> =
+            self.descriptors.iter().filter(|held| held.ip != excluded).cloned().collect();
+        self.rng.shuffle(&mut sample);
+        sample.truncate(SHUFFLE_LENGTH);
+        sample.push(PeerDescriptor { age: 0, ..self.own.clone() });
+        sample
     }
 }
--- a/engine/src/process/instance_registry.rs
+++ b/engine/src/process/instance_registry.rs
@@ -1,6 +1,7 @@
 //! Which instances there are, as they tell it themselves.
 
 use super::dissemination::anti_entropy::{Instance, Update, UpdateValue};
+use super::peer_message::InstanceLiveness;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -128,8 +129,8 @@
     }
 
     /// What other daemons heard of instances' heartbeats.
-    pub fn note_heartbeats(&mut self, now: Instant, heartbeats: &[(String, u64, Duration)]) {
-        for (id, count, age) in heartbeats {
+    pub fn note_heartbeats(&mut self, now: Instant, heartbeats: &[InstanceLiveness]) {
+        for InstanceLiveness { id, heartbeat_count: count, age } in heartbeats {
             if let Some(record) = self.records.get_mut(id)
                 && let Some(at) = now.checked_sub(*age)
             {
@@ -140,10 +141,10 @@
     }
 
     /// Instances that called here within `span`, for telling other daemons, who hear the rest themselves.
-    pub fn recent_heartbeats(&self, now: Instant, span: Duration) -> Vec<(String, u64, Duration)> {
+    pub fn recent_heartbeats(&self, now: Instant, span: Duration) -> Vec<InstanceLiveness> {
         let told = |(id, record): (&String, &InstanceRecord)| {
             let age = now.duration_since(record.called?);
-            (age < span).then(|| (id.clone(), record.count, age))
+            (age < span).then(|| InstanceLiveness { id: id.clone(), heartbeat_count: record.count, age })
         };
         self.records.iter().filter_map(told).collect()
     }
--- a/engine/src/process/leadership/mod.rs
+++ b/engine/src/process/leadership/mod.rs
@@ -8,7 +8,7 @@
 use super::forwarding::{PoolerShare, PoolerShares};
 use super::instance_registry::InstanceRegistry;
 use super::peer_message::{LeaseRequest, PeerMessage, PrimaryObservation};
-use super::quota::{QuotaCoordinator, RightsNeed, RightsTransfer};
+use super::quota::{QuotaCoordinator, QuotaCoordinatorOptions, QuotaExcess, RightsNeed, RightsReport, RightsTransfer};
 use super::settings::{Platform, TimingBounds};
 use crate::connection::client_session::Position;
 use crate::version::config;
@@ -302,15 +302,20 @@
     ) -> Vec<RightsTransfer> {
         self.begin_term(now, term);
         let since = self.lead.map_or(now, |(_, since)| since);
-        let excess = (self.bounds.quota_excess, self.bounds.quota_slack);
-        let stores = self
-            .stores
-            .get_or_insert_with(|| QuotaCoordinator::new(since, term, LEASE_DURATION, LEADER_CONFIRMATION, excess));
+        let excess = QuotaExcess { fraction: self.bounds.quota_excess, operations: self.bounds.quota_slack };
+        let options = QuotaCoordinatorOptions {
+            term,
+            rights_validity: LEASE_DURATION,
+            confirmation: LEADER_CONFIRMATION,
+            excess,
+        };
+        let stores = self.stores.get_or_insert_with(|| QuotaCoordinator::new(since, options));
         if stores.revision() != control_state.revision() {
             let document = control_state.config.as_ref().and_then(|c| config::read(&c.raw).ok());
-            stores.learn(control_state.revision(), document.map(|d| config::quotas(&d)).unwrap_or_default());
+            stores.set_quotas(control_state.revision(), document.map(|d| config::quotas(&d)).unwrap_or_default());
         }
-        stores.asked(now, who, whole, needs, control_state.pooler_shares.keys())
+        let report = RightsReport { node: who.0, incarnation: who.1, complete: whole, needs };
+        stores.handle_report(now, report, control_state.pooler_shares.keys())
     }
 
     pub fn handle_lease_returned(&mut self, from: Ipv4Addr, service: &str, epoch: u64) {
--- a/engine/src/process/log_ring.rs
+++ b/engine/src/process/log_ring.rs
@@ -1,30 +1,33 @@
-//! The log: a bounded ring in memory, written out when something goes wrong.
+//! The in-memory log: a bounded ring of the latest lines, written out when something goes wrong.
 
 use std::collections::VecDeque;
 
-const KEPT: usize = 512;
+/// Lines kept.
+const CAPACITY: usize = 512;
 
+/// The latest log lines. When the ring is full, a new line overwrites the oldest.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct LogRing {
     lines: VecDeque<String>,
-    lost: u64,
+    overwritten: u64,
 }
 
-impl Ring {
+impl LogRing {
+    /// Adds a line.
     pub fn push(&mut self, line: String) {
-        if self.lines.len() == KEPT {
+        if self.lines.len() == CAPACITY {
             self.lines.pop_front();
-            self.lost += 1;
+            self.overwritten += 1;
         }
         self.lines.push_back(line);
     }
 
-    /// Everything held, oldest first; the ring is empty afterwards.
+    /// Takes all lines, the oldest first, after a line that counts those overwritten since the last call.
     pub fn drain(&mut self) -> Vec<String> {
         let mut lines = Vec::with_capacity(self.lines.len() + 1);
-        if self.lost > 0 {
-            lines.push(format!("({} older lines overwritten)", self.lost));
-            self.lost = 0;
+        if self.overwritten > 0 {
+            lines.push(format!("({} older lines overwritten)", self.overwritten));
+            self.overwritten = 0;
         }
         lines.extend(self.lines.drain(..));
         lines
--- a/engine/src/process/pooler/mod.rs
+++ b/engine/src/process/pooler/mod.rs
@@ -5,7 +5,7 @@
 use super::dissemination::anti_entropy::{Instance, Update, UpdateValue};
 use super::dissemination::tree::DisseminationTree;
 use super::forwarding::{self, CarrierAssignment, PoolerShares};
-use super::peer_message::{LeaseGrant, LeaseRequest, PeerMessage, PrimaryObservation};
+use super::peer_message::{GrantedLease, LeaseGrant, LeaseRequest, PeerMessage, PrimaryObservation};
 use super::quota::{RightsHolder, RightsTransfer, SpendOutcome};
 use super::settings::TimingBounds;
 use crate::connection::backend_connection::{Answer, BackendConnection, ConnectionUse, ExpectedAnswer};
@@ -309,7 +309,7 @@
         if self.controllers != relay.roots() {
             self.controllers = relay.roots().to_vec();
         }
-        self.store_digest_sum = relay.store.digest_sum();
+        self.store_digest_sum = relay.update_store.digest_sum();
         let (age, leader) = (relay.leader_contact_age(now), relay.leader());
         if let Some(at) = age.and_then(|a| now.checked_sub(a)) {
             self.news_at = Some(at);
@@ -516,7 +516,7 @@
         let needs = self.rights.needs(now, self.tell_whole);
         let observations = self.observations(now);
         self.wanted.retain(|_, at| now.duration_since(*at) < WANT_KEEP);
-        let carried = self.assignment.carried().filter(|s| !self.wanted.contains_key(*s)).cloned();
+        let carried = self.assignment.carried_services().filter(|s| !self.wanted.contains_key(*s)).cloned();
         let wants = self.wanted.keys().cloned().chain(carried).collect();
         let ask = LeaseRequest {
             nonce,
@@ -529,7 +529,7 @@
             busy_connections: self.conns.values().filter(|c| matches!(c.usage, ConnectionUse::Busy(_))).count() as u32,
             digest_sum: self.store_digest_sum,
             rights_needs: needs,
-            known_term: self.rights.known,
+            known_term: self.rights.known_term,
         };
         for controller in asked {
             self.out.push(Effect::Send(controller, PeerMessage::LeaseRequest(ask.clone())));
@@ -675,7 +675,7 @@
         self.round = now.duration_since(asked);
         let until = asked + grant.valid_for;
         self.lease_due = Some(self.lease_due.map_or(until, |due| due.min(until)));
-        for (service, epoch) in grant.leases {
+        for GrantedLease { service, epoch } in grant.leases {
             let s = self.services.entry(service).or_default();
             if s.recalled.is_some_and(|(e, ..)| e >= epoch) {
                 continue;
@@ -821,7 +821,7 @@
             let waits = !self.finished
                 && session.required_revision.max(self.required) > self.config.as_ref().map_or(0, |c| c.revision);
             if session.statement.is_some()
-                || (waits && session.lines.waiting() > 0 && !session.lines.begins(forwarding::REVISION))
+                || (waits && session.lines.waiting() > 0 && !session.lines.begins(forwarding::REVISION_KEYWORD))
             {
                 return;
             }
@@ -908,7 +908,8 @@
     fn strays(&self, now: Instant, session_id: SessionId) -> bool {
         let Some(session) = self.sessions.get(&session_id) else { return false };
         let Some(route) = self.config.as_ref().and_then(|c| c.routes.get(&session.database)) else { return false };
-        session.opened.is_some_and(|at| now.duration_since(at) > STRAY) && self.assignment.elsewhere(&route.service)
+        session.opened.is_some_and(|at| now.duration_since(at) > STRAY)
+            && self.assignment.is_carried_by_others(&route.service)
     }
 
     /// The client has its answer; `readied` by a statement that only prepares an operation.
@@ -930,7 +931,7 @@
         let (kind, rest) = word(line);
         match kind {
             "BYE" => self.drop_session(now, session_id, true),
-            forwarding::REVISION if session.forwarded_revision.is_some() => {
+            forwarding::REVISION_KEYWORD if session.forwarded_revision.is_some() => {
                 session.required_revision = session.required_revision.max(rest.parse().unwrap_or(0))
             }
             "CONNECT" if !session.open => {
@@ -1277,7 +1278,7 @@
 
     /// How many connections this daemon may hold to an instance of the service.
     fn share(&self, service: &str) -> usize {
-        self.assignment.holding(service).map_or(UNKNOWN_SHARE, |h| h.share)
+        self.assignment.holding(service).map_or(UNKNOWN_SHARE, |h| h.connection_limit)
     }
 
     /// Where a session that begins with this line is served: empty for here.
@@ -1287,7 +1288,7 @@
         let Some(config) = self.config.as_ref().filter(|_| kind == "CONNECT") else { return Vec::new() };
         let Ok(tenant) = config.admit(database, key) else { return Vec::new() };
         let Some(route) = config.routes.get(database) else { return Vec::new() };
-        self.assignment.homes(&route.service, &tenant)
+        self.assignment.forwarding_targets(&route.service, &tenant)
     }
 
     /// The shares have changed: sessions at rest whose service this daemon no longer holds connections
@@ -1296,8 +1297,12 @@
         self.moves_due = None;
         // Without a configuration there is no session yet that could have to move.
         let Some(config) = &self.config else { return };
-        let elsewhere: HashSet<&String> =
-            config.routes.iter().filter(|(_, r)| self.assignment.elsewhere(&r.service)).map(|(d, _)| d).collect();
+        let elsewhere: HashSet<&String> = config
+            .routes
+            .iter()
+            .filter(|(_, r)| self.assignment.is_carried_by_others(&r.service))
+            .map(|(d, _)| d)
+            .collect();
         let moving: HashSet<SessionId> = self
             .sessions
             .iter()
@@ -2540,7 +2545,7 @@
         let parts = |pooler: &mut Pooler| pooler.effects().iter().any(|e| matches!(e, Effect::CloseIfIdle(_)));
         for (session_id, service) in names.iter().enumerate() {
             let session_id = session_id as SessionId;
-            let elsewhere = pooler.assignment.elsewhere(service);
+            let elsewhere = pooler.assignment.is_carried_by_others(service);
             pooler.accept_session(session_id);
             pooler.handle_client_bytes(
                 start,
@@ -2555,8 +2560,8 @@
             assert_eq!(parts(&mut pooler), elsewhere, "{service}");
         }
         assert!(
-            names.iter().any(|s| pooler.assignment.elsewhere(s))
-                && !names.iter().all(|s| pooler.assignment.elsewhere(s))
+            names.iter().any(|s| pooler.assignment.is_carried_by_others(s))
+                && !names.iter().all(|s| pooler.assignment.is_carried_by_others(s))
         );
     }
 }
--- a/engine/tests/controllers/quorum_contact.rs
+++ b/engine/tests/controllers/quorum_contact.rs
@@ -137,8 +137,8 @@
         core.said.iter().filter(|(_, to, _)| *to == outside(2)).map(|(.., message)| message.clone()).collect()
     };
     let sent = to_child(&core);
-    let Some(PeerMessage::AttachRejected { others }) = sent.last() else { panic!("it is sent on: {sent:?}") };
-    assert_eq!(others.len(), 2, "to the other controllers");
+    let Some(PeerMessage::AttachRejected { alternatives }) = sent.last() else { panic!("it is sent on: {sent:?}") };
+    assert_eq!(alternatives.len(), 2, "to the other controllers");
     attach(&mut core, cut, 2);
     assert_eq!(to_child(&core).len(), sent.len(), "who asks again at once hears nothing: it would ask without end");
     core.heal();
--- a/engine/tests/golden/forwarding.rs
+++ b/engine/tests/golden/forwarding.rs
@@ -3,10 +3,10 @@
 use lichenfield_engine::process::forwarding::{CLOSE_REQUEST_LINE, ForwardedSession, revision_line};
 
 #[test]
-fn lines_of_carried_sessions_are_as_before() {
+fn control_lines_of_forwarded_sessions_are_unchanged() {
     assert_eq!(revision_line(70_017), "REV 70017\r\n");
     assert_eq!(CLOSE_REQUEST_LINE, "PART\r\n");
-    let heard = ForwardedSession::new(3).carrier_said(b"REV 70018\r\nPART\r\nREADY I -\r\n");
-    assert_eq!((heard.seen, heard.part), (Some(70_018), true));
-    assert_eq!(heard.down, b"READY I -\r\n", "only the client's line goes on");
+    let output = ForwardedSession::new(3).handle_carrier_bytes(b"REV 70018\r\nPART\r\nREADY I -\r\n");
+    assert_eq!((output.served_revision, output.may_close), (Some(70_018), true));
+    assert_eq!(output.to_client, b"READY I -\r\n", "only the client's line goes on");
 }
--- a/engine/tests/golden/messages.rs
+++ b/engine/tests/golden/messages.rs
@@ -3,11 +3,11 @@
 use crate::control_state::{command_name, commands, mark, outcome_name, outcomes, voter};
 use crate::{Sample, assert_all_sampled, sample, variants};
 use lichenfield_engine::process::consensus::{Entry, Message, MessageBody, SnapshotId};
-use lichenfield_engine::process::dissemination::anti_entropy::{Digests, Instance, Update, UpdateValue};
+use lichenfield_engine::process::dissemination::anti_entropy::{Digests, Instance, KeyVersion, Update, UpdateValue};
 use lichenfield_engine::process::dissemination::partial_view::PeerDescriptor;
 use lichenfield_engine::process::forwarding::PoolerShare;
 use lichenfield_engine::process::peer_message::{
-    self, Heartbeat, LeaseGrant, LeaseRequest, PeerMessage, PrimaryObservation,
+    self, GrantedLease, Heartbeat, InstanceLiveness, LeaseGrant, LeaseRequest, PeerMessage, PrimaryObservation,
 };
 use lichenfield_engine::process::quota::{RightsNeed, RightsTransfer};
 use std::collections::BTreeMap;
@@ -57,12 +57,12 @@
 
 variants!(VALUES, value_name, UpdateValue, {
     "config" => UpdateValue::Config(_),
-    "packed" => UpdateValue::Compressed { .. },
+    "compressed" => UpdateValue::Compressed { .. },
     "epoch" => UpdateValue::Epoch { .. },
     "drain-instance" => UpdateValue::DrainInstance { .. },
-    "share" => UpdateValue::PoolerShare { .. },
+    "pooler-share" => UpdateValue::PoolerShare { .. },
     "instance" => UpdateValue::Instance(_),
-    "change-electorate" => UpdateValue::Voters(_),
+    "voters" => UpdateValue::Voters(_),
 });
 
 fn ip(last: u8) -> Ipv4Addr {
@@ -79,7 +79,7 @@
     }
 }
 
-fn span(n: u64) -> Duration {
+fn duration(n: u64) -> Duration {
     Duration::new(n, 1_000_000 + n as u32)
 }
 
@@ -91,17 +91,17 @@
 fn need(n: u64) -> RightsNeed {
     serde_json::from_value(serde_json::json!({
         "tenant": format!("tenant-{n}"),
-        "taken": [[n + 1, n + 2], [n + 3, n + 4]],
-        "given": [[n + 5, n + 6]],
-        "spent": n + 7,
+        "received": [[n + 1, n + 2], [n + 3, n + 4]],
+        "sent": [[n + 5, n + 6]],
+        "consumed": n + 7,
         "target": n + 8,
     }))
     .expect("a need")
 }
 
-fn pour(n: u64) -> RightsTransfer {
-    let fields = serde_json::json!({ "tenant": format!("tenant-{n}"), "given": n + 1, "spent": n + 2 });
-    serde_json::from_value(fields).expect("a pour")
+fn transfer(n: u64) -> RightsTransfer {
+    let fields = serde_json::json!({ "tenant": format!("tenant-{n}"), "transferred": n + 1, "consumed": n + 2 });
+    serde_json::from_value(fields).expect("a transfer")
 }
 
 fn bodies() -> Vec<MessageBody> {
@@ -167,7 +167,7 @@
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
-        leader_contact_age: span(61),
+        leader_contact_age: duration(61),
         depth: 62,
         leader: Some(ip(63)),
         digest_sum: 64,
@@ -175,14 +175,14 @@
     }
 }
 
-fn ask() -> LeaseRequest {
+fn lease_request() -> LeaseRequest {
     let counts = |n| BTreeMap::from([("tenant-a".to_owned(), n), ("tenant-b".to_owned(), n + 1)]);
-    let sight = |n: u64, failing: bool| PrimaryObservation {
+    let observation = |n: u64, failing: bool| PrimaryObservation {
         service: format!("service-{n}"),
         epoch: n,
         failing,
         deposed: !failing,
-        last_answer_age: Some(span(n + 1)),
+        last_answer_age: Some(duration(n + 1)),
     };
     LeaseRequest {
         nonce: 101,
@@ -191,7 +191,7 @@
         incarnation: 102,
         usage: BTreeMap::from([(103, counts(104)), (106, counts(107))]),
         services: vec!["service-x".into(), "service-y".into()],
-        primary_observations: vec![sight(110, true), sight(112, false)],
+        primary_observations: vec![observation(110, true), observation(112, false)],
         busy_connections: 114,
         digest_sum: 115,
         rights_needs: vec![need(120), need(140)],
@@ -199,15 +199,18 @@
     }
 }
 
-fn grant() -> LeaseGrant {
+fn lease_grant() -> LeaseGrant {
     LeaseGrant {
         nonce: 201,
-        leases: vec![("service-x".into(), 202), ("service-y".into(), 203)],
-        valid_for: span(204),
+        leases: vec![
+            GrantedLease { service: "service-x".into(), epoch: 202 },
+            GrantedLease { service: "service-y".into(), epoch: 203 },
+        ],
+        valid_for: duration(204),
         reported_through: Some(205),
         digests: Some(digests()),
         term: 206,
-        transfers: vec![pour(210), pour(220)],
+        transfers: vec![transfer(210), transfer(220)],
     }
 }
 
@@ -221,29 +224,43 @@
             bootstrapping: true,
             known_controllers: vec![descriptor(3), descriptor(4)],
         },
-        PeerMessage::ProposalReceived { mark: mark(5) },
-        PeerMessage::NotLeader { mark: mark(7) },
+        PeerMessage::ProposalReceived { proposal_id: mark(5) },
+        PeerMessage::NotLeader { proposal_id: mark(7) },
         PeerMessage::InstanceHeartbeats {
-            beats: vec![("a".into(), 9, span(10)), ("b".into(), 11, span(12))],
+            heartbeats: vec![
+                InstanceLiveness { id: "a".into(), heartbeat_count: 9, age: duration(10) },
+                InstanceLiveness { id: "b".into(), heartbeat_count: 11, age: duration(12) },
+            ],
             digests: digests(),
         },
         PeerMessage::Attach { descriptor: descriptor(13) },
         PeerMessage::AttachAccepted { heartbeat: Heartbeat { leader: None, digests: None, ..heartbeat() } },
-        PeerMessage::AttachRejected { others: vec![descriptor(14), descriptor(15)] },
+        PeerMessage::AttachRejected { alternatives: vec![descriptor(14), descriptor(15)] },
         PeerMessage::Detach,
         PeerMessage::Updates(updates()),
         PeerMessage::Heartbeat(heartbeat()),
-        PeerMessage::CompareVersions { ranges: vec![2, 7], versions: vec![("key-a".into(), 16), ("key-b".into(), 17)] },
-        PeerMessage::Shuffle { descriptors: vec![descriptor(18), descriptor(19)], answer: true },
-        PeerMessage::LeaseRequest(ask()),
-        PeerMessage::LeaseGrant(grant()),
+        PeerMessage::CompareVersions {
+            ranges: vec![2, 7],
+            versions: vec![
+                KeyVersion { key: "key-a".into(), version: 16 },
+                KeyVersion { key: "key-b".into(), version: 17 },
+            ],
+        },
+        PeerMessage::Shuffle { descriptors: vec![descriptor(18), descriptor(19)], is_reply: true },
+        PeerMessage::LeaseRequest(lease_request()),
+        PeerMessage::LeaseGrant(lease_grant()),
         PeerMessage::RightsRequest {
             nonce: 20,
             node: "daemon".into(),
             incarnation: 21,
             needs: vec![need(300), need(320)],
         },
-        PeerMessage::RightsGrant { nonce: 22, span: span(23), term: 24, transfers: vec![pour(400), pour(410)] },
+        PeerMessage::RightsGrant {
+            nonce: 22,
+            valid_for: duration(23),
+            term: 24,
+            transfers: vec![transfer(400), transfer(410)],
+        },
         PeerMessage::LeaderRedirect { leader: ip(25) },
         PeerMessage::LeaseRecall { service: "service".into(), epoch: 26 },
         PeerMessage::LeaseReturned { service: "service".into(), epoch: 27 },
@@ -254,11 +271,11 @@
     all.extend(bodies().into_iter().map(|body| (format!("consensus.{}", body_name(&body)), raft(body))));
     all.extend(commands().into_iter().map(|command| {
         let name = format!("propose.{}", command_name(&command));
-        (name, PeerMessage::Propose { mark: mark(33), command })
+        (name, PeerMessage::Propose { proposal_id: mark(33), command })
     }));
     all.extend(outcomes().into_iter().map(|outcome| {
         let name = format!("proposal-decided.{}", outcome_name(&outcome));
-        (name, PeerMessage::ProposalDecided { mark: mark(35), outcome })
+        (name, PeerMessage::ProposalDecided { proposal_id: mark(35), outcome })
     }));
     all
 }
@@ -269,8 +286,9 @@
 }
 
 pub fn samples() -> Vec<Sample> {
-    let sampled =
-        |name: String, value| sample(format!("message.{name}"), value, peer_message::encode, peer_message::decode);
+    let sampled = |name: String, value| {
+        sample(format!("message.{name}"), value, peer_message::encode, |frame| peer_message::decode(frame).ok())
+    };
     let mut all: Vec<Sample> = messages().into_iter().map(|(name, value)| sampled(name, value)).collect();
     all.push(Sample { compressed: true, ..sampled("updates-compressed".into(), long()) });
     all
--- a/pooler/src/driver.rs
+++ b/pooler/src/driver.rs
@@ -2,7 +2,7 @@
 
 use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
 use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
-use lichenfield_engine::process::dissemination::tree::DisseminationTree;
+use lichenfield_engine::process::dissemination::tree::{DisseminationTree, TreeOptions};
 use lichenfield_engine::process::forwarding::{self, ForwardedSession};
 use lichenfield_engine::process::peer_message::PeerMessage;
 use lichenfield_engine::process::pooler::{ConnectionId, Effect, Pooler, SessionId};
@@ -47,7 +47,7 @@
 impl CarrierLink {
     /// The carrier is not waited for any more. Whether the client waited: then it was told.
     fn sever(&mut self) -> bool {
-        let last = if self.session.is_severed() { String::new() } else { self.session.sever() };
+        let last = if self.session.is_carrier_lost() { String::new() } else { self.session.handle_carrier_loss() };
         self.client.write(last.as_bytes());
         if let Some(carrier) = self.carrier.take() {
             carrier.close();
@@ -103,16 +103,16 @@
     let seeds = settings.seed_nodes.iter().map(|s| *s.ip()).collect();
     let bounds = settings.timing_bounds.clone();
     let pooler = Pooler::new(now, &settings.node_name, &settings.zone, bounds.clone(), rng.u64(..));
+    let tree_options = TreeOptions {
+        partial_view: PartialView::new(descriptor, rng.fork()),
+        seeds,
+        is_root: false,
+        link_mbps: settings.limits.link_mbps,
+    };
     let driver = Rc::new(PoolerDriver {
         executor,
         pooler: shared(pooler),
-        relay: shared(DisseminationTree::new(
-            now,
-            PartialView::new(descriptor, rng.fork()),
-            seeds,
-            false,
-            settings.limits.link_mbps,
-        )),
+        relay: shared(DisseminationTree::new(now, tree_options)),
         links: Links::new(executor, settings.ip, settings.peer_port()),
         clients: shared(HashMap::new()),
         far: shared(HashMap::new()),
@@ -202,8 +202,8 @@
                 self.relay.borrow_mut().note_leader_answer(now, from, grant.digests.as_ref());
                 self.pooler.borrow_mut().handle_lease_grant(now, from, grant);
             }
-            Some(PeerMessage::RightsGrant { nonce, span, term, transfers }) => {
-                self.pooler.borrow_mut().handle_rights_grant(now, nonce, span, term, transfers)
+            Some(PeerMessage::RightsGrant { nonce, valid_for, term, transfers }) => {
+                self.pooler.borrow_mut().handle_rights_grant(now, nonce, valid_for, term, transfers)
             }
             Some(PeerMessage::LeaderRedirect { leader }) => {
                 self.pooler.borrow_mut().handle_leader_redirect(now, leader)
@@ -386,7 +386,7 @@
         }
         let revision = self.pooler.borrow().newest_revision();
         let mut session = ForwardedSession::new(revision);
-        session.client_said(now, first, revision);
+        session.handle_client_bytes(now, first, revision);
         let far = CarrierLink { session, client: Rc::clone(pipe), carrier: None, early: Some(first.to_vec()) };
         self.far.borrow_mut().insert(session_id, far);
         let driver = Rc::clone(self);
@@ -409,7 +409,7 @@
             let carrier = ByteStream::connected(self.executor, stream);
             {
                 let mut all = self.far.borrow_mut();
-                let Some(far) = all.get_mut(&session_id).filter(|f| !f.session.is_severed()) else { return };
+                let Some(far) = all.get_mut(&session_id).filter(|f| !f.session.is_carrier_lost()) else { return };
                 carrier.write(forwarding::revision_line(self.pooler.borrow().newest_revision()).as_bytes());
                 carrier.write(far.early.as_deref().unwrap_or_default());
                 far.carrier = Some(Rc::clone(&carrier));
@@ -442,16 +442,16 @@
         let mut all = self.far.borrow_mut();
         let Some(far) = all.get_mut(&session_id) else { return };
         far.early = None;
-        let heard = far.session.carrier_said(bytes);
-        if let Some(revision) = heard.seen {
+        let heard = far.session.handle_carrier_bytes(bytes);
+        if let Some(revision) = heard.served_revision {
             self.pooler.borrow_mut().require_revision(revision);
         }
-        far.client.write(&heard.down);
+        far.client.write(&heard.to_client);
         drop(all);
         let now = Instant::now();
-        if heard.part && self.pooler.borrow().link_is_free(now) {
+        if heard.may_close && self.pooler.borrow().link_is_free(now) {
             self.part(now, session_id);
-        } else if !heard.down.is_empty() {
+        } else if !heard.to_client.is_empty() {
             self.part_far(now, session_id, true);
         }
     }
@@ -461,12 +461,12 @@
         let mut all = self.far.borrow_mut();
         let Some(far) = all.get_mut(&session_id) else { return };
         let now = Instant::now();
-        if far.session.is_severed() {
-            far.client.write(far.session.refuse(now, bytes).as_bytes());
+        if far.session.is_carrier_lost() {
+            far.client.write(far.session.reject_requests(now, bytes).as_bytes());
             drop(all);
             return self.part_far(now, session_id, true);
         }
-        let out = far.session.client_said(now, bytes, revision);
+        let out = far.session.handle_client_bytes(now, bytes, revision);
         if let Some(carrier) = &far.carrier {
             carrier.write(&out);
         }
@@ -545,7 +545,7 @@
                 self.pooler.borrow_mut().close_idle_sessions(now, phase);
             }
             if phase == DrainPhase::RollingBack {
-                self.far.borrow_mut().values_mut().filter(|f| f.session.is_open()).for_each(|f| {
+                self.far.borrow_mut().values_mut().filter(|f| f.session.is_in_transaction()).for_each(|f| {
                     f.sever();
                 });
             }
--- a/runtime/src/log_ring.rs
+++ b/runtime/src/log_ring.rs
@@ -1,6 +1,6 @@
 //! The log ring as a `tracing` layer: kept in memory, written out when something goes wrong.
 
-use lichenfield_engine::process::log_ring::Ring;
+use lichenfield_engine::process::log_ring::LogRing;
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::sync::{Mutex, OnceLock};
@@ -10,7 +10,7 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 
 struct Held {
-    ring: Mutex<Ring>,
+    ring: Mutex<LogRing>,
     start: Instant,
 }
 
--- a/runtime/src/peer_links.rs
+++ b/runtime/src/peer_links.rs
@@ -134,7 +134,7 @@
                     return;
                 }
                 let Some(frame) = buffer.get(at + 4..at + 4 + length) else { break };
-                let Some(message) = peer_message::decode(frame) else {
+                let Ok(message) = peer_message::decode(frame) else {
                     inner.cut();
                     return;
                 };
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -7,7 +7,7 @@
 use lichenfield_engine::process::consensus::{Entry, PersistentState, Role, Write};
 use lichenfield_engine::process::controller::{self, Controller, Request};
 use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
-use lichenfield_engine::process::dissemination::tree::DisseminationTree;
+use lichenfield_engine::process::dissemination::tree::{DisseminationTree, TreeOptions};
 use lichenfield_engine::process::forwarding::{self, ForwardedSession};
 use lichenfield_engine::process::leadership::HealthCheckResult;
 use lichenfield_engine::process::peer_message::{self, PeerMessage};
@@ -387,13 +387,13 @@
                     settings.timing_bounds.clone(),
                     seed,
                 )));
-                f.relay = Some(Box::new(DisseminationTree::new(
-                    now,
-                    PartialView::new(descriptor, rng),
+                let tree_options = TreeOptions {
+                    partial_view: PartialView::new(descriptor, rng),
                     seeds,
-                    false,
-                    LINK_MBPS,
-                )));
+                    is_root: false,
+                    link_mbps: LINK_MBPS,
+                };
+                f.relay = Some(Box::new(DisseminationTree::new(now, tree_options)));
                 f.revision = 0;
                 f.floor = self.acked_revision;
                 f.left = None;
@@ -437,7 +437,7 @@
             if let Some((door, session)) = self.forwarded_sessions.get_mut(&session_id)
                 && *door != n
             {
-                let last = session.sever();
+                let last = session.handle_carrier_loss();
                 self.tell(session_id, self.lag, last);
             }
             let rests =
@@ -552,8 +552,8 @@
                                     relay.note_leader_answer(now, ip, grant.digests.as_ref());
                                     pooler.handle_lease_grant(now, ip, grant);
                                 }
-                                Some(PeerMessage::RightsGrant { nonce, span, term, transfers }) => {
-                                    pooler.handle_rights_grant(now, nonce, span, term, transfers)
+                                Some(PeerMessage::RightsGrant { nonce, valid_for, term, transfers }) => {
+                                    pooler.handle_rights_grant(now, nonce, valid_for, term, transfers)
                                 }
                                 Some(PeerMessage::LeaderRedirect { leader }) => {
                                     pooler.handle_leader_redirect(now, leader)
@@ -885,11 +885,11 @@
         match effect {
             pooler::Effect::ToClient(session_id, mut text) => {
                 if let Some((door, session)) = self.forwarded_sessions.get_mut(&session_id) {
-                    let heard = session.carrier_said(text.as_bytes());
-                    text = String::from_utf8_lossy(&heard.down).into_owned();
+                    let heard = session.handle_carrier_bytes(text.as_bytes());
+                    text = String::from_utf8_lossy(&heard.to_client).into_owned();
                     let door = *door;
                     if let (Some(seen), NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. })) =
-                        (heard.seen, &mut self.nodes[door].kind)
+                        (heard.served_revision, &mut self.nodes[door].kind)
                     {
                         pooler.require_revision(seen);
                     }
@@ -897,7 +897,7 @@
                     let closes = |(_, s): &(usize, ForwardedSession)| s.may_close(now, phase, true);
                     let answered = !text.is_empty() && self.forwarded_sessions.get(&session_id).is_some_and(closes);
                     self.tell(session_id, self.lag, text);
-                    if heard.part || answered {
+                    if heard.may_close || answered {
                         self.part(session_id);
                     }
                     return;
@@ -995,8 +995,9 @@
         let mut closed = 0;
         for session_id in through {
             let Some((_, session)) = self.forwarded_sessions.get_mut(&session_id) else { continue };
-            let cuts = phase == DrainPhase::Closing || (phase == DrainPhase::RollingBack && session.is_open());
-            let last = if cuts && !session.is_severed() { session.sever() } else { String::new() };
+            let cuts =
+                phase == DrainPhase::Closing || (phase == DrainPhase::RollingBack && session.is_in_transaction());
+            let last = if cuts && !session.is_carrier_lost() { session.handle_carrier_loss() } else { String::new() };
             let may = session.may_close(now, phase, false) && (closed < CLOSED_AT_ONCE || phase == DrainPhase::Closing);
             self.tell(session_id, self.lag, last);
             if may {
@@ -1168,8 +1169,8 @@
     fn client_sends(&mut self, session_id: u64, text: Option<String>) {
         let now = self.at();
         let text = match (text, self.forwarded_sessions.get_mut(&session_id)) {
-            (Some(text), Some((_, session))) if session.is_severed() => {
-                let last = session.refuse(now, text.as_bytes());
+            (Some(text), Some((_, session))) if session.is_carrier_lost() => {
+                let last = session.reject_requests(now, text.as_bytes());
                 let ends = session.may_close(now, DrainPhase::Serving, true);
                 if let Some((_, c)) = self.sessions.get(&session_id).copied()
                     && !last.is_empty()
@@ -1184,8 +1185,12 @@
             (Some(text), Some((door, session))) => {
                 let NodeKind::Pooler(PoolerNode { pooler: Some(pooler), .. }) = &self.nodes[*door].kind else { return };
                 Some(
-                    String::from_utf8_lossy(&session.client_said(now, text.as_bytes(), pooler.newest_revision()))
-                        .into_owned(),
+                    String::from_utf8_lossy(&session.handle_client_bytes(
+                        now,
+                        text.as_bytes(),
+                        pooler.newest_revision(),
+                    ))
+                    .into_owned(),
                 )
             }
             (text, _) => text,
