--- a/engine/src/process/controller/applied_log.rs
+++ b/engine/src/process/controller/applied_log.rs
@@ -132,7 +132,7 @@
                 Some(("q", _)) => Some(UpdateValue::Voters(self.control_state.voters.iter().map(|v| v.ip).collect())),
                 Some(("s", name)) => Some(UpdateValue::PoolerShare {
                     name: name.to_owned(),
-                    part: self.control_state.pooler_shares.get(name).cloned(),
+                    share: self.control_state.pooler_shares.get(name).cloned(),
                 }),
                 _ => None,
             };
--- a/engine/src/process/dissemination/anti_entropy/update.rs
+++ b/engine/src/process/dissemination/anti_entropy/update.rs
@@ -62,7 +62,7 @@
         /// The pooler's name.
         name: String,
         /// Its share; `None` if it no longer counts.
-        part: Option<PoolerShare>,
+        share: Option<PoolerShare>,
     },
     /// An instance of the database.
     Instance(Instance),
--- a/engine/src/process/dissemination/tree/mod.rs
+++ b/engine/src/process/dissemination/tree/mod.rs
@@ -8,6 +8,8 @@
 mod leader_contact;
 mod message_handling;
 mod parent_search;
+#[cfg(test)]
+mod tests;
 
 use super::anti_entropy::{Digests, KeyVersion, Update, UpdateStore, UpdateValue, VOTERS_KEY};
 use super::partial_view::{PartialView, PeerDescriptor};
--- a/engine/src/process/log_ring.rs
+++ b/engine/src/process/log_ring.rs
@@ -2,6 +2,9 @@
 
 use std::collections::VecDeque;
 
+#[cfg(test)]
+mod tests;
+
 /// Lines kept.
 const CAPACITY: usize = 512;
 
--- a/engine/src/process/peer_message/tests.rs
+++ b/engine/src/process/peer_message/tests.rs
@@ -23,3 +23,14 @@
     }
     assert_eq!(decode(&[7, 0, 0]).ok(), None);
 }
+
+#[test]
+fn decode_errors_tell_the_cause() {
+    assert!(matches!(decode(&[]), Err(DecodeError::Empty)));
+    assert!(matches!(decode(&[7, 0, 0]), Err(DecodeError::UnknownKind(7))));
+    let mut frame = encode(&PeerMessage::Detach);
+    frame.push(0);
+    assert!(matches!(decode(&frame), Err(DecodeError::TrailingBytes(1))));
+    frame.truncate(1);
+    assert!(matches!(decode(&frame), Err(DecodeError::Malformed(_))));
+}
--- a/engine/src/process/pooler/mod.rs
+++ b/engine/src/process/pooler/mod.rs
@@ -355,9 +355,9 @@
                     }
                     self.drain(now, now, id);
                 }
-                UpdateValue::PoolerShare { name, part } => {
-                    match part {
-                        Some(part) => self.parts.insert(name.clone(), part.clone()),
+                UpdateValue::PoolerShare { name, share } => {
+                    match share {
+                        Some(share) => self.parts.insert(name.clone(), share.clone()),
                         None => self.parts.remove(name),
                     };
                     shares = true;
@@ -2508,7 +2508,7 @@
         let start = Instant::now();
         let mut pooler = Pooler::new(start, "edge-1", "z", TimingBounds::default(), 1);
         let part = forwarding::PoolerShare { ip: Ipv4Addr::LOCALHOST, zone: "z".into() };
-        let value = UpdateValue::PoolerShare { name: "edge-1".into(), part: Some(part) };
+        let value = UpdateValue::PoolerShare { name: "edge-1".into(), share: Some(part) };
         pooler.apply_updates(start, &[Update { key: "s/edge-1".into(), version: 1, value }]);
         let later = start + MOVE_PAUSE * 2;
         pooler.tick(later, 1);
@@ -2526,7 +2526,7 @@
             Update {
                 key: format!("s/edge-{n}"),
                 version: 1,
-                value: UpdateValue::PoolerShare { name: format!("edge-{n}"), part: Some(part) },
+                value: UpdateValue::PoolerShare { name: format!("edge-{n}"), share: Some(part) },
             }
         };
         let names: Vec<String> = (0..12).map(|n| format!("s{n}")).collect();
--- a/engine/src/process/quota/tests.rs
+++ b/engine/src/process/quota/tests.rs
@@ -8,7 +8,7 @@
 const RIGHTS_VALIDITY: Duration = Duration::from_millis(1800);
 const CONFIRMATION: Duration = Duration::from_millis(400);
 
-/// The source's own example: a wallet of 100, split 50, 30 and 20.
+/// The example of the source: a wallet of 100, split 50, 30 and 20.
 #[test]
 fn decrement_beyond_local_rights_fails_until_a_transfer_is_merged() {
     let mut wallet = BoundedCounter::default();
@@ -18,7 +18,7 @@
     let mut third = wallet.clone();
     assert!(!third.decrement(3, 25), "it holds 20");
     assert!(wallet.transfer(1, 3, 10));
-    assert!(!third.decrement(3, 25), "not before it hears of it");
+    assert!(!third.decrement(3, 25), "not before the transfer is merged");
     third.merge(&wallet);
     assert!(third.decrement(3, 25));
     assert_eq!((third.local_rights(1), third.local_rights(2), third.local_rights(3), third.value()), (25, 5, 5, 35));
@@ -30,36 +30,36 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut copies = vec![BoundedCounter::default(); 4];
         let mut sent: Vec<BoundedCounter> = Vec::new();
-        let (mut created, mut spent) = (0, 0);
+        let (mut created, mut consumed) = (0, 0);
         for _ in 0..300 {
-            let (at, other) = (rng.usize(0..4), rng.usize(0..4));
-            let n = rng.u64(0..6);
-            let copy = &mut copies[at];
+            let (holder, other) = (rng.usize(0..4), rng.usize(0..4));
+            let rights = rng.u64(0..6);
+            let copy = &mut copies[holder];
             match rng.u32(0..6) {
                 0 => {
-                    copy.increment(at as u64, n);
-                    created += n;
+                    copy.increment(holder as u64, rights);
+                    created += rights;
                 }
-                1 => spent += if copy.decrement(at as u64, n) { n } else { 0 },
-                2 => drop(copy.transfer(at as u64, other as u64, n)),
+                1 => consumed += if copy.decrement(holder as u64, rights) { rights } else { 0 },
+                2 => drop(copy.transfer(holder as u64, other as u64, rights)),
                 // What is sent may be lost, arrive late, or twice.
                 3 => sent.push(copy.clone()),
                 _ if sent.is_empty() => {}
-                _ => copies[at].merge(&sent[rng.usize(0..sent.len())]),
+                _ => copies[holder].merge(&sent[rng.usize(0..sent.len())]),
             }
-            assert!(spent <= created, "seed {seed}");
+            assert!(consumed <= created, "seed {seed}");
         }
-        let all = |order: [usize; 4]| {
-            let mut sum = BoundedCounter::default();
-            order.iter().chain(&order).for_each(|c| sum.merge(&copies[*c]));
-            sum
+        let merge_all = |order: [usize; 4]| {
+            let mut merged = BoundedCounter::default();
+            order.iter().chain(&order).for_each(|copy| merged.merge(&copies[*copy]));
+            merged
         };
-        let sum = all([0, 1, 2, 3]);
-        assert_eq!(sum, all([2, 0, 3, 1]), "the order does not matter, nor a repeat");
-        assert_eq!(sum.value(), created as i64 - spent as i64);
-        let held: i64 = (0..4).map(|who| sum.local_rights(who)).sum();
-        assert_eq!(held, sum.value(), "rights are moved, never made");
-        assert!((0..4).all(|who| sum.local_rights(who) >= 0));
+        let merged = merge_all([0, 1, 2, 3]);
+        assert_eq!(merged, merge_all([2, 0, 3, 1]), "the order does not matter, nor a repeat");
+        assert_eq!(merged.value(), created as i64 - consumed as i64);
+        let held: i64 = (0..4).map(|holder| merged.local_rights(holder)).sum();
+        assert_eq!(held, merged.value(), "rights are moved, never made");
+        assert!((0..4).all(|holder| merged.local_rights(holder) >= 0));
     }
 }
 
@@ -73,11 +73,22 @@
     QuotaCoordinator::new(now, options)
 }
 
+struct Pooler {
+    name: String,
+    rights: RightsHolder,
+}
+
+impl Pooler {
+    fn new(name: &str, incarnation: HolderId) -> Self {
+        Pooler { name: name.to_owned(), rights: RightsHolder::new(incarnation) }
+    }
+}
+
 /// Poolers and a leader on one simulated clock.
 struct Fleet {
     now: Instant,
     coordinator: QuotaCoordinator,
-    poolers: Vec<(String, RightsHolder)>,
+    poolers: Vec<Pooler>,
     admitted: Vec<Instant>,
     names: Vec<String>,
 }
@@ -85,8 +96,8 @@
 impl Fleet {
     fn new(poolers: usize, rate: f64, burst: f64) -> Self {
         let now = Instant::now();
-        let poolers: Vec<_> = (0..poolers).map(|n| (format!("f{n}"), RightsHolder::new(1000 + n as u64))).collect();
-        let names = poolers.iter().map(|(n, _)| n.clone()).collect();
+        let poolers: Vec<Pooler> = (0..poolers).map(|n| Pooler::new(&format!("f{n}"), 1000 + n as u64)).collect();
+        let names = poolers.iter().map(|pooler| pooler.name.clone()).collect();
         let mut fleet = Fleet { now, coordinator: coordinator(now, 1), poolers, admitted: Vec::new(), names };
         fleet.set_limit(2, rate, burst);
         fleet
@@ -97,7 +108,7 @@
     }
 
     fn request_rights(&mut self, n: usize, answer_lost: bool) {
-        let (name, rights) = &mut self.poolers[n];
+        let Pooler { name, rights } = &mut self.poolers[n];
         let (asked_at, complete) = (self.now, rights.known_term == self.coordinator.term());
         let needs = rights.needs(self.now, true);
         let report = RightsReport { node: name, incarnation: rights.id(), complete, needs };
@@ -108,10 +119,10 @@
     }
 
     fn begin_operation(&mut self, n: usize) {
-        let mut outcome = self.poolers[n].1.spend(self.now, "t", false);
+        let mut outcome = self.poolers[n].rights.spend(self.now, "t", false);
         if outcome == SpendOutcome::RequestRights {
             self.request_rights(n, false);
-            outcome = self.poolers[n].1.spend(self.now, "t", true);
+            outcome = self.poolers[n].rights.spend(self.now, "t", true);
         }
         if outcome == SpendOutcome::Admitted {
             self.admitted.push(self.now);
@@ -136,7 +147,7 @@
             let n = rng.usize(0..8);
             if rng.u32(0..2) == 0 && !partitioned[n] {
                 fleet.begin_operation(n);
-            } else if partitioned[n] && fleet.poolers[n].1.spend(fleet.now, "t", false) == SpendOutcome::Admitted {
+            } else if partitioned[n] && fleet.poolers[n].rights.spend(fleet.now, "t", false) == SpendOutcome::Admitted {
                 // It goes on with what it holds.
                 let now = fleet.now;
                 fleet.admitted.push(now);
@@ -146,7 +157,7 @@
             }
             match step {
                 4_000 => partitioned = std::array::from_fn(|n| n < 2),
-                5_000 => fleet.poolers[2] = ("f2".into(), RightsHolder::new(77)),
+                5_000 => fleet.poolers[2] = Pooler::new("f2", 77),
                 5_500 => {
                     let quotas = fleet.coordinator.quotas().clone();
                     fleet.coordinator = coordinator(fleet.now, 2);
@@ -179,8 +190,8 @@
             fleet.set_limit(4, 20.0, 20.0);
         }
     }
-    let after = fleet.now - Duration::from_secs(5);
-    let late = fleet.admitted.iter().filter(|t| **t > after).count();
-    assert!((90..=120).contains(&late), "{late}");
-    assert_eq!(fleet.poolers[0].1.local_rights("t"), 0, "nothing lies idle");
+    let window_start = fleet.now - Duration::from_secs(5);
+    let admitted = fleet.admitted.iter().filter(|at| **at > window_start).count();
+    assert!((90..=120).contains(&admitted), "{admitted}");
+    assert_eq!(fleet.poolers[0].rights.local_rights("t"), 0, "nothing lies idle");
 }
--- a/engine/tests/golden/messages.rs
+++ b/engine/tests/golden/messages.rs
@@ -152,7 +152,7 @@
         UpdateValue::Compressed { base: Some(4), bytes: vec![5, 6] },
         UpdateValue::Epoch { service: "service".into(), epoch: 7, primary: "primary".into(), term: 8, closed: true },
         UpdateValue::DrainInstance { id: "instance".into() },
-        UpdateValue::PoolerShare { name: "daemon".into(), part: Some(PoolerShare { ip: ip(9), zone: "zone".into() }) },
+        UpdateValue::PoolerShare { name: "daemon".into(), share: Some(PoolerShare { ip: ip(9), zone: "zone".into() }) },
         instance(true, false, false),
         instance(false, true, false),
         instance(false, false, true),
