--- /dev/null
+++ b/pooler/src/driver/client_session.rs
@@ -0,0 +1,164 @@
+//! Clients' connections: accepting them, and deciding by a client's first line where its session is served.
+
+use super::PoolerDriver;
+use lichenfield_engine::process::pooler::SessionId;
+use lichenfield_runtime::byte_stream::ByteStream;
+use lichenfield_runtime::socket::{self, ListenError, configure_socket};
+use smol::Async;
+use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// A client that acknowledges nothing for this long is gone.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes of a client's first line that are waited for; a session with a longer one is served here.
+const FIRST_LINE_MAX: usize = 64 * 1024;
+
+/// Who opens the sessions that a listener accepts.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum SessionOrigin {
+    /// A client.
+    Client,
+    /// Another pooler, which forwards a client's session.
+    Pooler,
+}
+
+/// Where a client's bytes go.
+enum SessionRoute {
+    /// Not decided yet: what the client has sent so far.
+    Undecided(Vec<u8>),
+    /// To this daemon's own state machine.
+    Local,
+    /// To a carrier.
+    Forwarded,
+}
+
+impl PoolerDriver {
+    /// Starts the accept task for `address`, which runs as long as the process.
+    pub(super) fn listen_for_sessions(
+        self: &Rc<Self>,
+        address: SocketAddrV4,
+        origin: SessionOrigin,
+    ) -> Result<(), ListenError> {
+        let listener = socket::listen(address)?;
+        let driver = Rc::clone(self);
+        let accept_sessions = async move {
+            loop {
+                driver.accept_session(socket::accept(&listener).await, origin);
+            }
+        };
+        self.executor.spawn(accept_sessions).detach();
+        Ok(())
+    }
+
+    fn accept_session(self: &Rc<Self>, socket: Async<TcpStream>, origin: SessionOrigin) {
+        configure_socket(socket.get_ref(), SILENCE_TIMEOUT);
+        let session_id = self.next_session_id.get();
+        self.next_session_id.set(session_id + 1);
+        let stream = ByteStream::connected(self.executor, socket);
+        self.client_streams.borrow_mut().insert(session_id, Rc::clone(&stream));
+        let route = match origin {
+            SessionOrigin::Client => SessionRoute::Undecided(Vec::new()),
+            SessionOrigin::Pooler if self.pooler.borrow_mut().accept_forwarded_session(session_id) => {
+                SessionRoute::Local
+            }
+            SessionOrigin::Pooler => {
+                self.client_streams.borrow_mut().remove(&session_id);
+                return stream.abort();
+            }
+        };
+        self.executor.spawn(Rc::clone(self).run_session(session_id, stream, route)).detach();
+    }
+
+    /// The task of a client's connection: reads until the connection ends, then ends the session.
+    async fn run_session(self: Rc<Self>, session_id: SessionId, stream: Rc<ByteStream>, mut route: SessionRoute) {
+        let driver = Rc::clone(&self);
+        let client_stream = Rc::clone(&stream);
+        let on_bytes = move |bytes: &[u8]| driver.route_client_bytes(session_id, &client_stream, &mut route, bytes);
+        stream.read(on_bytes).await;
+        self.client_streams.borrow_mut().remove(&session_id);
+        self.remove_carrier_link(session_id);
+        let now = Instant::now();
+        self.pooler.borrow_mut().handle_client_closed(now, session_id);
+        self.perform_effects(now);
+    }
+
+    fn route_client_bytes(
+        self: &Rc<Self>,
+        session_id: SessionId,
+        stream: &Rc<ByteStream>,
+        route: &mut SessionRoute,
+        bytes: &[u8],
+    ) {
+        match route {
+            SessionRoute::Undecided(received) => {
+                received.extend_from_slice(bytes);
+                if received.contains(&b'\n') || received.len() > FIRST_LINE_MAX {
+                    let received = std::mem::take(received);
+                    *route = self.choose_route(session_id, stream, &received);
+                }
+            }
+            SessionRoute::Local => self.handle_client_bytes(session_id, bytes),
+            SessionRoute::Forwarded if self.carrier_links.borrow().contains_key(&session_id) => {
+                self.forward_client_bytes(session_id, bytes)
+            }
+            SessionRoute::Forwarded => {
+                // No carrier answered, so the session is served here now.
+                *route = SessionRoute::Local;
+                self.handle_client_bytes(session_id, bytes);
+            }
+        }
+    }
+
+    /// Decides by the client's first line where the session is served, and passes on what was received so far.
+    fn choose_route(self: &Rc<Self>, session_id: SessionId, stream: &Rc<ByteStream>, received: &[u8]) -> SessionRoute {
+        let first_line = received.split(|byte| *byte == b'\n').next().unwrap_or_default();
+        let carriers = self.reachable_carriers(&String::from_utf8_lossy(first_line));
+        if carriers.is_empty() || self.forwarding_port.is_none() {
+            self.serve_locally(session_id, received);
+            return SessionRoute::Local;
+        }
+        self.start_forwarding(session_id, stream, received, carriers);
+        SessionRoute::Forwarded
+    }
+
+    /// The carriers for a session, the preferred one first, without those that could not be reached lately.
+    fn reachable_carriers(&self, first_line: &str) -> Vec<Ipv4Addr> {
+        let mut carriers = self.pooler.borrow().carriers_for(first_line);
+        let now = Instant::now();
+        let unreachable = self.unreachable_carriers.borrow();
+        carriers.retain(|carrier| unreachable.get(carrier).is_none_or(|retry_at| now >= *retry_at));
+        carriers
+    }
+
+    /// Serves the session in this daemon; `received` is what its client has sent so far.
+    pub(super) fn serve_locally(self: &Rc<Self>, session_id: SessionId, received: &[u8]) {
+        self.pooler.borrow_mut().accept_session(session_id);
+        self.handle_client_bytes(session_id, received);
+    }
+
+    fn handle_client_bytes(self: &Rc<Self>, session_id: SessionId, bytes: &[u8]) {
+        let now = Instant::now();
+        self.pooler.borrow_mut().handle_client_bytes(now, session_id, bytes);
+        self.perform_effects(now);
+    }
+
+    /// Closes a client's session, unless bytes from the client are still unread: those are answered first. Whether
+    /// the session is closed now.
+    pub(super) fn close_unless_unread(&self, now: Instant, session_id: SessionId) -> bool {
+        let Some(stream) = self.client_streams.borrow().get(&session_id).cloned() else { return true };
+        if stream.is_closed() {
+            return true;
+        }
+        if stream.has_unread() {
+            self.pooler.borrow_mut().note_unread_bytes(now, session_id);
+            if let Some(link) = self.carrier_links.borrow_mut().get_mut(&session_id) {
+                link.session.activity.stirs(now);
+            }
+            return false;
+        }
+        stream.close();
+        self.remove_carrier_link(session_id);
+        true
+    }
+}
--- /dev/null
+++ b/pooler/src/driver/shutdown.rs
@@ -0,0 +1,99 @@
+//! Draining after SIGTERM.
+
+use super::PoolerDriver;
+use super::carrier_link::CarrierLink;
+use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
+use lichenfield_engine::process::pooler::SessionId;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How often a draining daemon looks for sessions that it may close.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
+/// The platform goes on sending new clients for up to this long after the readiness probe failed. A daemon without
+/// sessions waits for them, for half its grace at most.
+const LATE_CLIENT_WAIT: Duration = Duration::from_millis(2600);
+/// Time for the last messages to leave before the process ends.
+const FINAL_SEND_WAIT: Duration = Duration::from_millis(60);
+
+impl PoolerDriver {
+    /// Drains after SIGTERM: idle sessions are closed first; open transactions get half the grace, running statements
+    /// a little more; then whoever still waits gets the true state of its request. [`DrainPhase`] has the shares.
+    pub(super) async fn drain(self: &Rc<Self>) {
+        let started_at = Instant::now();
+        self.draining_since.set(Some(started_at));
+        self.pooler.borrow_mut().begin_draining(started_at);
+        self.perform_effects(started_at);
+        let late_client_wait = LATE_CLIENT_WAIT.min(self.grace / 2);
+        loop {
+            smol::Timer::after(DRAIN_INTERVAL).await;
+            let now = Instant::now();
+            let phase = self.drain_phase(now);
+            let all_gone = self.client_streams.borrow().is_empty() && now.duration_since(started_at) > late_client_wait;
+            if phase == DrainPhase::Finished || all_gone {
+                break;
+            }
+            self.drain_step(now, phase);
+        }
+        let now = Instant::now();
+        self.tree.borrow_mut().leave();
+        self.pooler.borrow_mut().send_final_report(now);
+        self.perform_effects(now);
+        smol::Timer::after(FINAL_SEND_WAIT).await;
+    }
+
+    /// How far the drain is; [`DrainPhase::Serving`] before SIGTERM.
+    pub(super) fn drain_phase(&self, now: Instant) -> DrainPhase {
+        match self.draining_since.get() {
+            Some(since) => DrainPhase::after(now.duration_since(since), self.grace),
+            None => DrainPhase::Serving,
+        }
+    }
+
+    /// Closes what may be closed now.
+    fn drain_step(self: &Rc<Self>, now: Instant, phase: DrainPhase) {
+        if phase == DrainPhase::Closing {
+            self.close_all_sessions(now);
+        } else {
+            self.pooler.borrow_mut().close_idle_sessions(now, phase);
+        }
+        if phase == DrainPhase::RollingBack {
+            self.sever_carriers(|link| link.session.is_open());
+        }
+        for session_id in self.closable_forwarded_sessions(now, phase) {
+            self.close_forwarded_if_idle(now, session_id, false);
+        }
+        self.perform_effects(now);
+    }
+
+    /// The forwarded sessions to close in this step: a few at a time, so that their clients do not all reconnect at
+    /// once, but all of them in the last phase.
+    fn closable_forwarded_sessions(&self, now: Instant, phase: DrainPhase) -> Vec<SessionId> {
+        let limit = if phase == DrainPhase::Closing { usize::MAX } else { CLOSED_AT_ONCE };
+        let links = self.carrier_links.borrow();
+        let closable = links.iter().filter(|(_, link)| link.session.may_close(now, phase, false));
+        closable.map(|(session_id, _)| *session_id).take(limit).collect()
+    }
+
+    /// Gives up the carriers of the forwarded sessions that `selected` picks.
+    fn sever_carriers(&self, selected: impl Fn(&CarrierLink) -> bool) {
+        for link in self.carrier_links.borrow_mut().values_mut().filter(|link| selected(link)) {
+            link.sever();
+        }
+    }
+
+    /// Begins nothing new, and sends every client that waits the state of its request.
+    fn close_all_sessions(&self, now: Instant) {
+        self.sever_carriers(|_| true);
+        self.pooler.borrow_mut().close_all_sessions(now);
+        for session_id in self.undecided_sessions() {
+            self.close_unless_unread(now, session_id);
+        }
+    }
+
+    /// Connections whose first line has not come yet: neither served here nor forwarded.
+    fn undecided_sessions(&self) -> Vec<SessionId> {
+        let (pooler, links) = (self.pooler.borrow(), self.carrier_links.borrow());
+        let is_undecided = |id: &&SessionId| !pooler.has_session(**id) && !links.contains_key(id);
+        self.client_streams.borrow().keys().filter(is_undecided).copied().collect()
+    }
+}
--- a/pooler/src/main.rs
+++ b/pooler/src/main.rs
@@ -1,10 +1,16 @@
 //! `lichenfield-pooler`: lichenfield's data plane. Serves clients' sessions and carries their statements to the
 //! databases' instances over pooled connections.
 
+#![deny(clippy::await_holding_refcell_ref)]
+
 mod driver;
 
 use clap::Parser;
-use lichenfield_runtime::startup;
+use lichenfield_engine::process::settings::Settings;
+use lichenfield_runtime::Executor;
+use lichenfield_runtime::socket::ListenError;
+use lichenfield_runtime::startup::{self, Daemon, DaemonConfig, RunMode};
+use std::net::SocketAddrV4;
 use std::process::ExitCode;
 
 /// Carries clients' sessions to the databases' instances.
@@ -15,41 +21,45 @@
     #[arg(long)]
     settings: Option<String>,
     #[command(subcommand)]
-    verb: Option<Verb>,
+    command: Option<Command>,
 }
 
 #[derive(clap::Subcommand)]
-enum Verb {
+enum Command {
     /// Checks the settings file and ends: 0 if it is good, 2 if not.
     Check,
 }
 
+/// Where the pooler takes connections from outside.
+struct ListenAddresses {
+    /// Clients' sessions.
+    session: SocketAddrV4,
+    /// The readiness probe, over HTTP.
+    readiness: SocketAddrV4,
+}
+
+struct PoolerDaemon;
+
+impl Daemon for PoolerDaemon {
+    const PROGRAM: &'static str = "lichenfield-pooler";
+    const REQUIRED_SETTINGS: &'static str = "listen.session and listen.readiness";
+    type Required = ListenAddresses;
+    type Error = ListenError;
+
+    fn required(settings: &Settings) -> Option<ListenAddresses> {
+        Some(ListenAddresses { session: settings.listen.session?, readiness: settings.listen.readiness? })
+    }
+
+    async fn serve(executor: Executor, config: DaemonConfig<ListenAddresses>) -> Result<(), ListenError> {
+        driver::serve(executor, config).await
+    }
+}
+
 fn main() -> ExitCode {
     let args = Args::parse();
-    let path = startup::settings_path(args.settings);
-    let (text, settings) = match startup::read_settings(&path) {
-        Ok(read) => read,
-        Err(why) => {
-            eprintln!("lichenfield-pooler: {why}");
-            return ExitCode::from(startup::EXIT_SETTINGS);
-        }
+    let mode = match args.command {
+        Some(Command::Check) => RunMode::CheckSettings,
+        None => RunMode::Serve,
     };
-    let (Some(session), Some(readiness)) = (settings.listen.session, settings.listen.readiness) else {
-        eprintln!("lichenfield-pooler: settings {path}: listen.session and listen.readiness are needed");
-        return ExitCode::from(startup::EXIT_SETTINGS);
-    };
-    if matches!(args.verb, Some(Verb::Check)) {
-        println!("{path}: good");
-        return ExitCode::SUCCESS;
-    }
-    lichenfield_runtime::log_ring::start();
-    let reader = startup::SettingsWatcher::new(path, text);
-    match lichenfield_runtime::run(move |executor| driver::serve(executor, settings, session, readiness, reader)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            lichenfield_runtime::log_ring::dump();
-            eprintln!("lichenfield-pooler: {e}");
-            ExitCode::from(startup::EXIT_FAILED)
-        }
-    }
+    startup::run_daemon::<PoolerDaemon>(args.settings, mode)
 }
--- a/runtime/src/byte_stream.rs
+++ b/runtime/src/byte_stream.rs
@@ -1,6 +1,8 @@
-//! A socket that state machines write to: at once where the kernel takes it, later where it does not.
+//! A TCP connection that a state machine writes to without waiting: bytes go to the kernel at once where it takes
+//! them, and into a bounded backlog otherwise.
 
-use crate::Executor;
+pub use crate::socket::configure_socket;
+use crate::{Executor, with_timeout};
 use smol::Async;
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read, Write};
@@ -8,111 +10,110 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What may wait for a peer that does not read; beyond it the connection is cut.
+/// Bytes that may wait for a peer that does not read; beyond this the connection is aborted.
 const BACKLOG_MAX: usize = 4 << 20;
-/// After our side is closed, what the other still sends is read and dropped this long: a close with bytes
-/// unread would reset, and destroy what was said last.
-const LINGER: Duration = Duration::from_millis(800);
-const READ: usize = 8 * 1024;
+/// How long a connection whose sending side is closed still reads, and drops, what the peer sends. Closing a socket
+/// with unread bytes makes the kernel send a reset, which could destroy the last bytes written.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Bytes taken from the kernel by one read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
+/// A connection, possibly not established yet, with its write backlog.
 pub struct ByteStream {
     executor: Executor,
-    stream: RefCell<Option<Rc<Async<TcpStream>>>>,
+    /// `None` until [`ByteStream::attach`].
+    socket: RefCell<Option<Rc<Async<TcpStream>>>>,
     backlog: RefCell<Vec<u8>>,
-    flushing: Cell<bool>,
-    /// Since when our side is.
-    closed: Cell<Option<Instant>>,
-}
-
-/// The options of every connection: small messages at once, a dark peer noticed.
-pub fn tune(stream: &TcpStream, silence: Duration) {
-    let socket = socket2::SockRef::from(stream);
-    let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(silence));
-    let probes = socket2::TcpKeepalive::new()
-        .with_time(silence.max(Duration::from_secs(1)))
-        .with_interval(Duration::from_secs(1))
-        .with_retries(3);
-    let _ = socket.set_tcp_keepalive(&probes);
+    /// Whether a task is writing out the backlog.
+    flush_running: Cell<bool>,
+    /// When the sending side was closed.
+    closed_at: Cell<Option<Instant>>,
 }
 
 impl ByteStream {
-    /// Not connected yet: what is written waits.
+    /// A stream without a connection: what is written goes into the backlog.
     pub fn pending(executor: Executor) -> Rc<Self> {
         Rc::new(ByteStream {
             executor,
-            stream: RefCell::new(None),
+            socket: RefCell::new(None),
             backlog: RefCell::default(),
-            flushing: Cell::new(false),
-            closed: Cell::new(None),
+            flush_running: Cell::new(false),
+            closed_at: Cell::new(None),
         })
     }
 
-    pub fn connected(executor: Executor, stream: Async<TcpStream>) -> Rc<Self> {
-        let pipe = ByteStream::pending(executor);
-        pipe.attach(stream);
-        pipe
+    /// A stream over an established connection.
+    pub fn connected(executor: Executor, socket: Async<TcpStream>) -> Rc<Self> {
+        let stream = ByteStream::pending(executor);
+        stream.attach(socket);
+        stream
     }
 
-    pub fn attach(self: &Rc<Self>, stream: Async<TcpStream>) {
-        *self.stream.borrow_mut() = Some(Rc::new(stream));
-        let waiting = std::mem::take(&mut *self.backlog.borrow_mut());
-        if !waiting.is_empty() {
-            self.write(&waiting);
+    /// Gives a pending stream its connection, and writes the backlog to it.
+    pub fn attach(self: &Rc<Self>, socket: Async<TcpStream>) {
+        *self.socket.borrow_mut() = Some(Rc::new(socket));
+        let backlog = std::mem::take(&mut *self.backlog.borrow_mut());
+        if !backlog.is_empty() {
+            self.write(&backlog);
         }
     }
 
-    /// Whether something has come that was not read yet.
+    /// Whether the kernel holds bytes from the peer that were not read yet.
     pub fn has_unread(&self) -> bool {
-        self.stream.borrow().as_ref().is_some_and(|s| s.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0))
+        let socket = self.socket.borrow();
+        socket.as_ref().is_some_and(|socket| socket.get_ref().peek(&mut [0]).is_ok_and(|count| count > 0))
     }
 
+    /// Whether the sending side was closed, by [`ByteStream::close`] or [`ByteStream::abort`].
     pub fn is_closed(&self) -> bool {
-        self.closed.get().is_some()
+        self.closed_at.get().is_some()
     }
 
+    /// Sends `bytes` after all that was written before. Nothing is sent on a closed stream. A write error is not
+    /// reported here: the task in [`ByteStream::read`] meets the end of the connection.
     pub fn write(self: &Rc<Self>, bytes: &[u8]) {
         if self.is_closed() {
             return;
         }
-        let stream = self.stream.borrow().clone();
+        let socket = self.socket.borrow().clone();
         let mut backlog = self.backlog.borrow_mut();
-        let mut rest = bytes;
-        if let Some(stream) = &stream
+        let mut unwritten = bytes;
+        if let Some(socket) = &socket
             && backlog.is_empty()
         {
-            match stream.get_ref().write(rest) {
-                Ok(n) => rest = &rest[n..],
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                // The reader learns of the end in its own way.
+            match socket.get_ref().write(unwritten) {
+                Ok(count) => unwritten = &unwritten[count..],
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
-        if rest.is_empty() {
+        if unwritten.is_empty() {
             return;
         }
-        backlog.extend_from_slice(rest);
-        let over = backlog.len() > BACKLOG_MAX;
+        backlog.extend_from_slice(unwritten);
+        let overflow = backlog.len() > BACKLOG_MAX;
         drop(backlog);
-        if over {
-            self.cut();
-        } else if stream.is_some() && !self.flushing.replace(true) {
-            let pipe = Rc::clone(self);
-            self.executor.spawn(async move { pipe.flush().await }).detach();
+        if overflow {
+            self.abort();
+        } else if socket.is_some() && !self.flush_running.replace(true) {
+            let stream = Rc::clone(self);
+            self.executor.spawn(async move { stream.flush().await }).detach();
         }
     }
 
+    /// The flush task: ends once the backlog is empty or the connection fails; the next write that finds the
+    /// kernel's buffer full starts another.
     async fn flush(self: Rc<Self>) {
-        let stream = self.stream.borrow().clone();
-        if let Some(stream) = stream {
+        let socket = self.socket.borrow().clone();
+        if let Some(socket) = socket {
             while !self.backlog.borrow().is_empty() {
-                if stream.writable().await.is_err() {
+                if socket.writable().await.is_err() {
                     break;
                 }
                 let mut backlog = self.backlog.borrow_mut();
-                match stream.get_ref().write(&backlog) {
-                    Ok(n) => drop(backlog.drain(..n)),
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                match socket.get_ref().write(&backlog) {
+                    Ok(count) => drop(backlog.drain(..count)),
+                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     Err(_) => {
                         backlog.clear();
                         break;
@@ -120,56 +121,58 @@
                 }
             }
             if self.is_closed() {
-                let _ = stream.get_ref().shutdown(Shutdown::Write);
+                let _ = socket.get_ref().shutdown(Shutdown::Write);
             }
         }
-        self.flushing.set(false);
+        self.flush_running.set(false);
     }
 
-    /// Ends our side once everything is written.
+    /// Closes the sending side once the backlog is written.
     pub fn close(&self) {
         if self.is_closed() {
             return;
         }
-        self.closed.set(Some(Instant::now()));
+        self.closed_at.set(Some(Instant::now()));
         if self.backlog.borrow().is_empty()
-            && let Some(stream) = &*self.stream.borrow()
+            && let Some(socket) = &*self.socket.borrow()
         {
-            let _ = stream.get_ref().shutdown(Shutdown::Write);
+            let _ = socket.get_ref().shutdown(Shutdown::Write);
         }
     }
 
-    /// Ends the connection at once.
-    pub fn cut(&self) {
-        self.closed.set(Some(Instant::now()));
+    /// Ends the connection in both directions at once and drops the backlog.
+    pub fn abort(&self) {
+        self.closed_at.set(Some(Instant::now()));
         self.backlog.borrow_mut().clear();
-        if let Some(stream) = &*self.stream.borrow() {
-            let _ = stream.get_ref().shutdown(Shutdown::Both);
+        if let Some(socket) = &*self.socket.borrow() {
+            let _ = socket.get_ref().shutdown(Shutdown::Both);
         }
     }
 
-    /// Reads until the end, handing on what comes; after [`ByteStream::close`] what comes is dropped.
-    pub async fn read(self: Rc<Self>, mut take: impl FnMut(&[u8])) {
-        let Some(stream) = self.stream.borrow().clone() else { return };
-        let mut buffer = vec![0; READ];
-        loop {
-            let readable = match self.closed.get() {
-                Some(at) => {
-                    let rest = LINGER.saturating_sub(at.elapsed());
-                    crate::within(rest, stream.readable()).await.is_some_and(|r| r.is_ok())
-                }
-                None => stream.readable().await.is_ok(),
-            };
-            if !readable {
-                return;
-            }
-            match stream.get_ref().read(&mut buffer) {
+    /// Reads until the connection ends and passes what arrives to `on_bytes`. After [`ByteStream::close`] what
+    /// arrives is dropped, and reading ends [`LINGER_TIMEOUT`] later at the latest.
+    pub async fn read(self: Rc<Self>, mut on_bytes: impl FnMut(&[u8])) {
+        let Some(socket) = self.socket.borrow().clone() else { return };
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        while self.wait_readable(&socket).await {
+            match socket.get_ref().read(&mut buffer) {
                 Ok(0) => return,
-                Ok(n) if !self.is_closed() => take(&buffer[..n]),
+                Ok(count) if !self.is_closed() => on_bytes(&buffer[..count]),
                 Ok(_) => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock || e.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Err(_) => return,
             }
         }
     }
+
+    /// Waits until the socket has bytes or an end to read; false once the connection failed or lingered long enough.
+    async fn wait_readable(&self, socket: &Async<TcpStream>) -> bool {
+        match self.closed_at.get() {
+            Some(closed_at) => {
+                let remaining = LINGER_TIMEOUT.saturating_sub(closed_at.elapsed());
+                with_timeout(remaining, socket.readable()).await.is_some_and(|result| result.is_ok())
+            }
+            None => socket.readable().await.is_ok(),
+        }
+    }
 }
--- a/runtime/src/lib.rs
+++ b/runtime/src/lib.rs
@@ -1,80 +1,35 @@
-//! What both daemons need around `lichenfield_engine`: sockets, links between daemons, HTTP, settings, the log.
+//! Everything both daemons need around the state machines of `lichenfield_engine`: a single-threaded executor,
+//! timers, sockets, links between daemons, HTTP, the settings file, signals, the log ring and the common
+//! start-up sequence.
+//!
+//! A daemon runs on one thread. Its tasks share state through [`Shared`], whose documentation states the one
+//! rule that keeps that safe.
+
+#![deny(clippy::await_holding_refcell_ref)]
 
 pub mod byte_stream;
 pub mod http;
 pub mod log_ring;
 pub mod peer_links;
+pub mod settings_file;
+pub mod signals;
+pub mod socket;
 pub mod startup;
 
-use std::cell::{Cell, RefCell};
-use std::rc::Rc;
-use std::time::{Duration, Instant};
+mod shared;
+mod timeout;
+mod timer;
+
+pub use shared::{Shared, shared};
+pub use timeout::with_timeout;
+pub use timer::TimerHandle;
 
-/// The one thread's executor.
+/// The executor of the daemon's only thread. It lives as long as the process.
 pub type Executor = &'static smol::LocalExecutor<'static>;
 
-/// Runs a daemon's whole incarnation on the calling thread.
+/// Runs `main` on the calling thread until it completes, together with every task it spawns. Tasks that are still
+/// running when `main` completes are abandoned: the process exits next.
 pub fn run<F: Future>(main: impl FnOnce(Executor) -> F) -> F::Output {
     let executor: Executor = Box::leak(Box::new(smol::LocalExecutor::new()));
     smol::block_on(executor.run(main(executor)))
 }
-
-/// Wakes a state machine at the moment it asks for, however often that moment failovers.
-pub struct TimerHandle {
-    armed: Cell<Option<Instant>>,
-    ping: (smol::channel::Sender<()>, smol::channel::Receiver<()>),
-}
-
-impl TimerHandle {
-    pub fn new() -> Rc<Self> {
-        Rc::new(TimerHandle { armed: Cell::new(None), ping: smol::channel::bounded(1) })
-    }
-
-    /// The machine now wants to be woken at `due`.
-    pub fn set(&self, due: Instant) {
-        if self.armed.get().is_none_or(|armed| due < armed) {
-            self.armed.set(Some(due));
-            let _ = self.ping.0.try_send(());
-        }
-    }
-
-    /// Waits for the moment last set.
-    pub async fn wait(&self) {
-        loop {
-            let armed = self.armed.get();
-            let pinged = async {
-                let _ = self.ping.1.recv().await;
-                false
-            };
-            let rung = async {
-                match armed {
-                    Some(at) => {
-                        smol::Timer::at(at).await;
-                    }
-                    None => smol::future::pending().await,
-                }
-                true
-            };
-            if smol::future::or(rung, pinged).await {
-                self.armed.set(None);
-                return;
-            }
-        }
-    }
-}
-
-/// Waits for `what`, but no longer than `patience`.
-pub async fn within<T>(patience: Duration, what: impl Future<Output = T>) -> Option<T> {
-    smol::future::or(async { Some(what.await) }, async {
-        smol::Timer::after(patience).await;
-        None
-    })
-    .await
-}
-
-/// A value shared by the tasks of the one thread.
-pub type Shared<T> = Rc<RefCell<T>>;
-
-pub fn shared<T>(value: T) -> Shared<T> {
-    Rc::new(RefCell::new(value))
-}
--- a/runtime/src/log_ring.rs
+++ b/runtime/src/log_ring.rs
@@ -1,4 +1,5 @@
-//! The log ring as a `tracing` layer: kept in memory, written out when something goes wrong.
+//! The log: `tracing` events go into a bounded ring in memory, and to standard error when something goes wrong. An
+//! error event, a panic, SIGUSR1 (through [`dump`]) and a failed start write the ring out.
 
 use lichenfield_engine::process::log_ring::Ring;
 use std::fmt::Write as _;
@@ -9,17 +10,20 @@
 use tracing::{Event, Level, Subscriber};
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 
-struct Held {
+/// The process's log. A panic may come on any thread, hence the mutex.
+struct ProcessLog {
     ring: Mutex<Ring>,
-    start: Instant,
+    started_at: Instant,
 }
 
-static HELD: OnceLock<Held> = OnceLock::new();
+static PROCESS_LOG: OnceLock<ProcessLog> = OnceLock::new();
 
-struct Text(String);
+/// An event as text: its message, then its fields as ` name=value`.
+struct EventText(String);
 
-impl Visit for Text {
+impl Visit for EventText {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
+        // Writing to a `String` does not fail.
         let _ = if field.name() == "message" {
             write!(self.0, "{value:?}")
         } else {
@@ -28,42 +32,45 @@
     }
 }
 
+/// Puts each event into the ring, with the seconds since the start and its level.
 struct RingLayer;
 
 impl<S: Subscriber> Layer<S> for RingLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let Some(held) = HELD.get() else { return };
-        let mut text = Text(String::new());
+        let Some(log) = PROCESS_LOG.get() else { return };
+        let mut text = EventText(String::new());
         event.record(&mut text);
-        let line = format!("{:9.3} {:5} {}", held.start.elapsed().as_secs_f64(), event.metadata().level(), text.0);
-        if let Ok(mut ring) = held.ring.lock() {
+        let level = event.metadata().level();
+        let line = format!("{:9.3} {level:5} {}", log.started_at.elapsed().as_secs_f64(), text.0);
+        if let Ok(mut ring) = log.ring.lock() {
             ring.push(line);
         }
-        if *event.metadata().level() == Level::ERROR {
+        if *level == Level::ERROR {
             dump();
         }
     }
 }
 
-/// Starts the ring; an error event, a panic or [`dump`] writes it out.
+/// Starts the log: from now on events are kept, and a panic writes them out. A second call does nothing.
 pub fn start() {
-    if HELD.set(Held { ring: Mutex::default(), start: Instant::now() }).is_err() {
+    if PROCESS_LOG.set(ProcessLog { ring: Mutex::default(), started_at: Instant::now() }).is_err() {
         return;
     }
+    // Fails only where a subscriber is set already, which then stays.
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(RingLayer));
-    let usual = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         dump();
-        usual(info);
+        default_hook(info);
     }));
 }
 
-/// Writes the ring to standard error.
+/// Writes the ring to standard error and empties it.
 pub fn dump() {
-    let Some(held) = HELD.get() else { return };
-    let lines = held.ring.lock().map(|mut r| r.drain()).unwrap_or_default();
-    let mut err = std::io::stderr().lock();
+    let Some(log) = PROCESS_LOG.get() else { return };
+    let lines = log.ring.lock().map(|mut ring| ring.drain()).unwrap_or_default();
+    let mut stderr = std::io::stderr().lock();
     for line in lines {
-        let _ = writeln!(err, "{line}");
+        let _ = writeln!(stderr, "{line}");
     }
 }
--- a/runtime/src/startup.rs
+++ b/runtime/src/startup.rs
@@ -1,81 +1,91 @@
-//! Settings and signals.
+//! The start-up sequence that both daemons share: find and check the settings file, start the log, run, and turn the
+//! outcome into an exit code.
 
-use async_signal::{Signal, Signals};
-use lichenfield_engine::process::settings::Settings;
-use std::time::Duration;
+pub use crate::settings_file::{SettingsWatcher, settings_path};
+pub use crate::signals::{ProcessSignal, watch};
 
-/// The variable that holds the settings file's path, and the usual path.
-pub const VARIABLE: &str = "LICHENFIELD_NODE_FILE";
-pub const USUAL: &str = "/etc/lichenfield/local.toml";
+use crate::settings_file::{SettingsError, SettingsFile};
+use crate::{Executor, log_ring};
+use lichenfield_engine::process::settings::Settings;
+use std::fmt::Display;
+use std::process::ExitCode;
 
-/// Exit codes: a wrong call or settings, and a failure at work.
-pub const EXIT_SETTINGS: u8 = 2;
+/// Exit code of a daemon that failed while running; the cause is on standard error, after the log.
 pub const EXIT_FAILED: u8 = 1;
+/// Exit code for a wrong command line or an unusable settings file.
+pub const EXIT_SETTINGS: u8 = 2;
 
-pub fn settings_path(given: Option<String>) -> String {
-    given.or_else(|| std::env::var(VARIABLE).ok()).unwrap_or_else(|| USUAL.to_owned())
+/// What the command line asks of a daemon.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RunMode {
+    /// `check`: check the settings file and exit.
+    CheckSettings,
+    /// Run until SIGTERM.
+    Serve,
 }
 
-/// Reads the settings file; the message names the file and what is wrong in it.
-pub fn read_settings(path: &str) -> Result<(String, Settings), String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("settings {path}: {e}"))?;
-    let settings = Settings::read(&text).map_err(|why| format!("settings {path}: {why}"))?;
-    Ok((text, settings))
+/// What a daemon starts with.
+pub struct DaemonConfig<R> {
+    /// The whole settings file.
+    pub settings: Settings,
+    /// The optional settings that this daemon needs, as [`Daemon::required`] found them.
+    pub required: R,
+    /// Follows the settings file.
+    pub settings_watcher: SettingsWatcher,
 }
 
-/// How often the file is looked at for changes that no signal told of.
-const LOOK: Duration = Duration::from_secs(2);
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProcessSignal {
-    Terminate,
-    ReloadSettings,
-    DumpLog,
-}
+/// A daemon as the start-up sequence sees it.
+pub trait Daemon {
+    /// The program's name, in front of each message on standard error.
+    const PROGRAM: &'static str;
+    /// The names of the optional settings that this daemon needs, for the error message.
+    const REQUIRED_SETTINGS: &'static str;
+    /// The values of those settings.
+    type Required;
+    /// Why the daemon could not start or stopped running.
+    type Error: Display;
 
-/// Follows signals; looks after the settings file now and then.
-pub async fn watch(mut act: impl FnMut(ProcessSignal)) {
-    use smol::stream::StreamExt;
-    let Ok(mut signals) = Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1]) else { return };
-    loop {
-        let signal = smol::future::or(async { signals.next().await.and_then(Result::ok) }, async {
-            smol::Timer::after(LOOK).await;
-            Some(Signal::Hup)
-        })
-        .await;
-        match signal {
-            Some(Signal::Hup) => act(ProcessSignal::ReloadSettings),
-            Some(Signal::Usr1) => act(ProcessSignal::DumpLog),
-            Some(_) => act(ProcessSignal::Terminate),
-            None => {}
-        }
-    }
-}
+    /// Picks the settings in [`Daemon::REQUIRED_SETTINGS`]; `None` if one of them is not set.
+    fn required(settings: &Settings) -> Option<Self::Required>;
 
-/// Follows the settings file: a bad new one is logged and the old settings stay.
-pub struct SettingsWatcher {
-    path: String,
-    text: String,
+    /// Runs the daemon until it has drained after SIGTERM.
+    fn serve(executor: Executor, config: DaemonConfig<Self::Required>)
+    -> impl Future<Output = Result<(), Self::Error>>;
 }
 
-impl SettingsWatcher {
-    pub fn new(path: String, text: String) -> Self {
-        SettingsWatcher { path, text }
-    }
-
-    /// The new settings, if the file changed and is good.
-    pub fn changed(&mut self) -> Option<Settings> {
-        let text = std::fs::read_to_string(&self.path).ok()?;
-        if text == self.text {
-            return None;
+/// Runs a daemon's whole life, or only the check of its settings file; `settings_argument` is the path on the
+/// command line.
+///
+/// Exit codes: 0 after a drain or a successful check, [`EXIT_SETTINGS`] or [`EXIT_FAILED`] otherwise.
+pub fn run_daemon<D: Daemon>(settings_argument: Option<String>, mode: RunMode) -> ExitCode {
+    let (path, config) = match load_config::<D>(settings_path(settings_argument)) {
+        Ok(loaded) => loaded,
+        Err(error) => {
+            eprintln!("{}: {error}", D::PROGRAM);
+            return ExitCode::from(EXIT_SETTINGS);
         }
-        self.text = text;
-        match Settings::read(&self.text) {
-            Ok(settings) => Some(settings),
-            Err(why) => {
-                tracing::error!("settings {} changed and are refused, the old ones stay: {why}", self.path);
-                None
-            }
+    };
+    if mode == RunMode::CheckSettings {
+        println!("{path}: good");
+        return ExitCode::SUCCESS;
+    }
+    log_ring::start();
+    match crate::run(move |executor| D::serve(executor, config)) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            log_ring::dump();
+            eprintln!("{}: {error}", D::PROGRAM);
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
+
+/// Reads the settings file and checks that it has what the daemon needs.
+fn load_config<D: Daemon>(path: String) -> Result<(String, DaemonConfig<D::Required>), SettingsError> {
+    let SettingsFile { path, text, settings } = SettingsFile::read(path)?;
+    let Some(required) = D::required(&settings) else {
+        return Err(SettingsError::Missing { path, names: D::REQUIRED_SETTINGS });
+    };
+    let settings_watcher = SettingsWatcher::new(path.clone(), text);
+    Ok((path, DaemonConfig { settings, required, settings_watcher }))
+}
