--- a/controller/src/client.rs
+++ b/controller/src/client.rs
@@ -1,6 +1,6 @@
 //! The operator's client: every call has a bounded time, and exit codes tell what happened.
 
-use lichenfield_runtime::http::{self, Answer};
+use lichenfield_runtime::http::{self, HttpResponse, OutboundRequest};
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,11 +11,19 @@
 const EXIT_REFUSED: u8 = 3;
 const EXIT_UNREACHED: u8 = 4;
 
-fn call(at: SocketAddrV4, method: &str, path: &str, headers: &[(&str, String)], body: &[u8]) -> Result<Answer, String> {
+fn call(
+    at: SocketAddrV4,
+    method: &str,
+    path: &str,
+    headers: &[(&str, String)],
+    body: &[u8],
+) -> Result<HttpResponse, String> {
     lichenfield_runtime::run(|executor| async move {
         let mut to = at;
         for _ in 0..=REDIRECTS {
-            let answer = http::call(executor, to, (method, path), headers, body.to_vec(), PATIENCE, || true).await?;
+            let request =
+                OutboundRequest { address: to, method, path, headers, body: body.to_vec(), timeout: PATIENCE };
+            let answer = http::send(executor, request, || true).await.map_err(|e| e.to_string())?;
             let next = answer.location.as_deref().filter(|_| answer.status == 307);
             let Some(place) = next else { return Ok(answer) };
             let host = place.strip_prefix("http://").and_then(|p| p.split('/').next()).unwrap_or_default();
@@ -25,7 +33,7 @@
     })
 }
 
-fn finish(result: Result<Answer, String>, show: impl FnOnce(&str)) -> ExitCode {
+fn finish(result: Result<HttpResponse, String>, show: impl FnOnce(&str)) -> ExitCode {
     match result {
         Ok(answer) => {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
--- a/controller/src/driver.rs
+++ b/controller/src/driver.rs
@@ -7,10 +7,10 @@
 use lichenfield_engine::process::leadership::HealthCheckResult;
 use lichenfield_engine::process::peer_message::PeerMessage;
 use lichenfield_engine::process::settings::Settings;
-use lichenfield_runtime::http::{self, Answer, Call};
-use lichenfield_runtime::peer_links::Links;
+use lichenfield_runtime::http::{self, HttpRequest, HttpResponse, OutboundRequest};
+use lichenfield_runtime::peer_links::PeerLinks;
 use lichenfield_runtime::startup::{self, ProcessSignal, SettingsWatcher};
-use lichenfield_runtime::{Executor, Shared, TimerHandle, shared, within};
+use lichenfield_runtime::{Executor, Shared, TimerHandle, shared, with_timeout};
 use smol::Async;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use std::collections::HashMap;
@@ -34,7 +34,7 @@
 struct ControllerDriver {
     executor: Executor,
     controller: Shared<Controller>,
-    links: Links,
+    links: PeerLinks,
     timer: Rc<TimerHandle>,
     disk: mpsc::Sender<(u64, Write)>,
     /// Messages that wait for a write, in order.
@@ -59,7 +59,7 @@
     let driver = Rc::new(ControllerDriver {
         executor,
         controller: shared(Controller::new(Instant::now(), &settings, stored, rng)),
-        links: Links::new(executor, settings.ip, settings.peer_port()),
+        links: PeerLinks::new(executor, settings.ip, settings.peer_port()),
         timer: TimerHandle::new(),
         disk: store.run(done),
         held: shared(Vec::new()),
@@ -119,7 +119,7 @@
     if result.is_ok() {
         driver.leave();
         let patience = Duration::from_secs_f64(settings.timing_bounds.grace_s * LEAVE_SHARE);
-        within(patience, driver.left()).await;
+        with_timeout(patience, driver.left()).await;
         smol::Timer::after(FINAL_ANSWER_GRACE).await;
     }
     result
@@ -159,7 +159,7 @@
         self.perform(now);
     }
 
-    async fn answer(self: Rc<Self>, call: Call) -> Answer {
+    async fn answer(self: Rc<Self>, call: HttpRequest) -> HttpResponse {
         let token = self.next_token.get();
         self.next_token.set(token + 1);
         let (sender, receiver) = smol::channel::bounded(1);
@@ -169,8 +169,8 @@
         self.controller.borrow_mut().request(now, token, request);
         self.perform(now);
         match receiver.recv().await {
-            Ok(response) => Answer { status: response.status, location: response.location, body: response.body },
-            Err(_) => Answer::status(503),
+            Ok(response) => HttpResponse { status: response.status, location: response.location, body: response.body },
+            Err(_) => HttpResponse::status(503),
         }
     }
 
@@ -214,8 +214,10 @@
                 let driver = Rc::clone(self);
                 self.executor
                     .spawn(async move {
-                        let result =
-                            within(PROBE, probe(&instance, &text)).await.flatten().unwrap_or(HealthCheckResult::Failed);
+                        let result = with_timeout(PROBE, probe(&instance, &text))
+                            .await
+                            .flatten()
+                            .unwrap_or(HealthCheckResult::Failed);
                         let now = Instant::now();
                         driver.controller.borrow_mut().health_check_finished(now, token, result);
                         driver.tick();
@@ -235,10 +237,14 @@
         let headers = [("duty-holder", self.node.clone()), ("fence", fence.to_string())];
         let driver = Rc::clone(&self);
         let permit = move || driver.controller.borrow().may_call(Instant::now(), fence);
-        let status = match self.platform {
-            Some(to) => http::call(self.executor, to, ("POST", path), &headers, body.into_bytes(), CALL, permit).await,
-            None => Err("no platform".to_owned()),
+        let Some(address) = self.platform else {
+            tracing::info!("platform {path}: no platform");
+            self.controller.borrow_mut().platform_call_finished(Instant::now(), token, None);
+            return self.tick();
         };
+        let (method, body, timeout) = ("POST", body.into_bytes(), CALL);
+        let request = OutboundRequest { address, method, path, headers: &headers, body, timeout };
+        let status = http::send(self.executor, request, permit).await;
         match &status {
             Ok(answer) => tracing::info!("platform {path}: {}", answer.status),
             Err(why) => tracing::info!("platform {path}: {why}"),
@@ -252,7 +258,7 @@
 async fn probe(instance: &Instance, text: &str) -> Option<HealthCheckResult> {
     let address: SocketAddrV4 = instance.address.parse().ok()?;
     let mut stream = Async::<TcpStream>::connect(address).await.ok()?;
-    lichenfield_runtime::byte_stream::tune(stream.get_ref(), PROBE);
+    lichenfield_runtime::byte_stream::configure_socket(stream.get_ref(), PROBE);
     let hello = format!("CONNECT {} - {}\r\n", instance.service, instance.id);
     stream.write_all(hello.as_bytes()).await.ok()?;
     let mut seen = String::new();
--- a/controller/src/main.rs
+++ b/controller/src/main.rs
@@ -5,7 +5,10 @@
 mod store;
 
 use clap::{Parser, Subcommand};
-use lichenfield_runtime::startup;
+use lichenfield_engine::process::settings::Settings;
+use lichenfield_runtime::Executor;
+use lichenfield_runtime::startup::{self, Daemon, DaemonConfig, RunMode};
+use std::net::SocketAddrV4;
 use std::process::ExitCode;
 
 /// Keeps the configuration and the list of instances, decides on primaries, and spreads the news.
@@ -75,36 +78,31 @@
         Some(Verb::Config { verb: ConfigVerb::History { at, json } }) => client::history(at, json),
         Some(Verb::Config { verb: ConfigVerb::Put { at, if_match, file } }) => client::put(at, if_match, &file),
         Some(Verb::Status { at, json }) => client::status(at, json),
-        Some(Verb::Check) => serve(args.settings, true),
-        None => serve(args.settings, false),
+        Some(Verb::Check) => startup::run_daemon::<ControllerDaemon>(args.settings, RunMode::CheckSettings),
+        None => startup::run_daemon::<ControllerDaemon>(args.settings, RunMode::Serve),
     }
 }
 
-fn serve(given: Option<String>, only_check: bool) -> ExitCode {
-    let path = startup::settings_path(given);
-    let (text, settings) = match startup::read_settings(&path) {
-        Ok(read) => read,
-        Err(why) => {
-            eprintln!("lichenfield-controller: {why}");
-            return ExitCode::from(startup::EXIT_SETTINGS);
-        }
-    };
-    let (Some(control), Some(data)) = (settings.listen.control, settings.data_path.clone()) else {
-        eprintln!("lichenfield-controller: settings {path}: listen.control and data-path are needed");
-        return ExitCode::from(startup::EXIT_SETTINGS);
-    };
-    if only_check {
-        println!("{path}: good");
-        return ExitCode::SUCCESS;
+/// Where the controller listens and keeps its store.
+struct RequiredSettings {
+    control: SocketAddrV4,
+    data_path: String,
+}
+
+struct ControllerDaemon;
+
+impl Daemon for ControllerDaemon {
+    const PROGRAM: &'static str = "lichenfield-controller";
+    const REQUIRED_SETTINGS: &'static str = "listen.control and data-path";
+    type Required = RequiredSettings;
+    type Error = String;
+
+    fn required(settings: &Settings) -> Option<RequiredSettings> {
+        Some(RequiredSettings { control: settings.listen.control?, data_path: settings.data_path.clone()? })
     }
-    lichenfield_runtime::log_ring::start();
-    let reader = startup::SettingsWatcher::new(path, text);
-    match lichenfield_runtime::run(move |executor| driver::serve(executor, settings, control, data, reader)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            lichenfield_runtime::log_ring::dump();
-            eprintln!("lichenfield-controller: {why}");
-            ExitCode::from(startup::EXIT_FAILED)
-        }
+
+    async fn serve(executor: Executor, config: DaemonConfig<RequiredSettings>) -> Result<(), String> {
+        let DaemonConfig { settings, required: RequiredSettings { control, data_path }, settings_watcher } = config;
+        driver::serve(executor, settings, control, data_path, settings_watcher).await
     }
 }
--- a/simulator/src/bin/fake-database.rs
+++ b/simulator/src/bin/fake-database.rs
@@ -2,7 +2,7 @@
 //! instances that speak the wire, tell of themselves, and take over when the platform is called.
 
 use lichenfield_runtime::byte_stream::ByteStream;
-use lichenfield_runtime::http::{self, Answer};
+use lichenfield_runtime::http::{self, HttpResponse, OutboundRequest};
 use lichenfield_runtime::{Executor, Shared, shared};
 use lichenfield_simulator::instance::{self, Instance, Log};
 use lichenfield_simulator::judge::Judge;
@@ -79,7 +79,7 @@
                 })
                 .detach();
         }
-        async { Answer::status(200) }
+        async { HttpResponse::status(200) }
     })?;
     println!("{service}: instances at {ip}:{port} and on, the platform at {ip}:{}", port + INSTANCES);
     loop {
@@ -91,7 +91,9 @@
                 beat["address"] = format!("{ip}:{}", usize::from(port) + n).into();
                 (format!("/api/instances/{}", instance.id), beat.to_string())
             };
-            let answer = http::call(executor, control, ("PUT", &path), &[], body.into_bytes(), CALL, || true).await;
+            let (method, body, timeout) = ("PUT", body.into_bytes(), CALL);
+            let request = OutboundRequest { address: control, method, path: &path, headers: &[], body, timeout };
+            let answer = http::send(executor, request, || true).await;
             if let Err(why) = answer {
                 println!("{path}: {why}");
             }
@@ -128,5 +130,5 @@
         })
         .await;
     group.borrow_mut().instances[n].lines.remove(&conn);
-    pipe.cut();
+    pipe.abort();
 }
