--- a/apiary/src/lib.rs
+++ b/apiary/src/lib.rs
@@ -4,4 +4,5 @@
 pub mod instance;
 pub mod judge;
 pub mod scenario;
+pub mod trace;
 pub mod world;
--- a/apiary/src/scenario.rs
+++ b/apiary/src/scenario.rs
@@ -1,10 +1,13 @@
 //! Scenarios as small text files: what the world holds, what happens when, and what must be true.
 
+use crate::trace::Trace;
 use crate::world::{Size, World};
 use std::time::Duration;
 
-/// Runs a scenario for each of its seeds; tells what was broken, with the seed.
-pub fn run(text: &str) -> Result<(), String> {
+/// Runs a scenario for each of its seeds; tells what was broken, with the seed. Gives the trace over all seeds, if
+/// one was asked for.
+pub fn run(text: &str) -> Result<Option<Trace>, String> {
+    let mut trace = Trace::from_environment();
     let mut seeds = 1..=1;
     let mut size = Size { queens: 3, spare: 0, foragers: 3, clients: 6, tolerance: 1 };
     let mut until = Duration::from_secs(15);
@@ -58,8 +61,11 @@
         for expect in &expects {
             check(&world, expect).map_err(|why| format!("seed {seed}: expected {expect}, {why}"))?;
         }
+        if let (Some(whole), Some(part)) = (&mut trace, world.trace()) {
+            whole.add(part);
+        }
     }
-    Ok(())
+    Ok(trace)
 }
 
 fn seconds(text: &str) -> Result<Duration, String> {
--- a/apiary/src/world.rs
+++ b/apiary/src/world.rs
@@ -2,6 +2,7 @@
 
 use crate::instance::{self, Instance, Log};
 use crate::judge::{End, Judge};
+use crate::trace::{Party, Trace};
 use brood::connection::parting::{CLOSED_AT_ONCE, Phase};
 use brood::connection::session::Position;
 use brood::process::carry::{self, Splice};
@@ -157,6 +158,8 @@
     /// Bytes that each daemon has sent to others since the mark, and when that was set.
     sent: Vec<u64>,
     marked: Option<Duration>,
+    /// A digest of all that was sent, if it is asked for.
+    trace: Option<Trace>,
 }
 
 /// Tokens of calls by which an instance says that it leaves.
@@ -243,6 +246,7 @@
             idle_routes: 0,
             sent: Vec::new(),
             marked: None,
+            trace: Trace::from_environment(),
         };
         for n in 0..queens + spare + foragers {
             let ip = address(n);
@@ -306,11 +310,46 @@
     }
 
     fn after(&mut self, delay: Duration, event: Event) {
+        self.trace_event(&event);
+        self.schedule(delay, event);
+    }
+
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.next += 1;
         self.queue.push(Reverse((self.now + delay, self.next)));
         self.events.insert(self.next, event);
     }
 
+    /// Notes what an event carries from one to another.
+    fn trace_event(&mut self, event: &Event) {
+        if self.trace.is_none() {
+            return;
+        }
+        let daemon = |n: usize| Party::Daemon(self.nodes[n].ip);
+        let serving = |sid: &u64| self.sessions.get(sid).map_or(Party::Unserved, |(n, _)| daemon(*n));
+        let text = |text: &Option<String>| text.clone().unwrap_or_default().into_bytes();
+        let (from, to, bytes) = match event {
+            Event::Dance(from, to, _, dance) => (daemon(*from), daemon(*to), dance::encode(dance)),
+            Event::ToInstance(n, _, _, i, said) => (daemon(*n), Party::Instance(*i), said.clone().into_bytes()),
+            Event::FromInstance(n, _, _, i, said) => (Party::Instance(*i), daemon(*n), text(said)),
+            Event::ToClient(_, sid, said) => (serving(sid), Party::Session(*sid), text(said)),
+            Event::FromClient(sid, said) => (Party::Session(*sid), serving(sid), text(said)),
+            _ => return,
+        };
+        self.trace_sent(from, to, &bytes);
+    }
+
+    fn trace_sent(&mut self, from: Party, to: Party, bytes: &[u8]) {
+        if let Some(trace) = &mut self.trace {
+            trace.sent(self.now, from, to, bytes);
+        }
+    }
+
+    /// The digest of all that was sent, if one was asked for.
+    pub fn trace(&self) -> Option<&Trace> {
+        self.trace.as_ref()
+    }
+
     /// Services that nobody uses.
     pub fn add_idle(&mut self, count: usize) {
         self.idle = (0..count)
@@ -514,7 +553,7 @@
             };
         }
         if frozen {
-            return self.after(Duration::from_millis(20), event);
+            return self.schedule(Duration::from_millis(20), event);
         }
         let now = self.at();
         match event {
@@ -739,9 +778,12 @@
     }
 
     fn royal_effect(&mut self, n: usize, life: u32, effect: royal::Effect) {
+        let from = Party::Daemon(self.nodes[n].ip);
         match effect {
             royal::Effect::Send(to, dance, _) => self.post(n, to, dance),
             royal::Effect::Reply(token, response) => {
+                let answer = [&response.status.to_le_bytes()[..], &response.body[..]].concat();
+                self.trace_sent(from, Party::Caller(token), &answer);
                 if token > 0 && token < 1_000_000 {
                     match response.status {
                         200 => {
@@ -785,6 +827,7 @@
                 self.after(patience, Event::Probed(n, life, token, result));
             }
             royal::Effect::Call { token, path, fence, body } => {
+                self.trace_sent(from, Party::Platform, format!("{path} {fence} {body}").as_bytes());
                 let status = if !self.platform_up { None } else { Some(self.platform(n, path, fence, &body)) };
                 let patience = if status.is_none() { Duration::from_millis(300) } else { Duration::from_millis(4) };
                 self.after(patience, Event::Called(n, life, token, status));
@@ -844,6 +887,8 @@
 
     fn http(&mut self, q: usize, token: u64, method: &str, path: &str, if_match: Option<u64>, body: Vec<u8>) {
         let now = self.at();
+        let said = [format!("{method} {path} {if_match:?} ").as_bytes(), &body[..]].concat();
+        self.trace_sent(Party::Caller(token), Party::Daemon(self.nodes[q].ip), &said);
         let request =
             Request { method: method.into(), path: path.into(), if_match: if_match.map(|v| v.to_string()), body };
         if let Kind::Queen(Queen { royal: Some(royal), .. }) = &mut self.nodes[q].kind {
--- a/apiary/tests/scenarios.rs
+++ b/apiary/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Runs every scenario under `scenarios/`, each as often as its seeds say.
+//! Runs every scenario under `scenarios/`, each as often as its seeds say. With `LICHENFIELD_TRACE` set (and
+//! `--nocapture`), prints for each a digest of all that was sent.
 
 #[test]
 fn every_scenario_holds() {
@@ -18,12 +19,15 @@
             })
         })
         .collect();
-    let broken: Vec<String> = runs
-        .into_iter()
-        .filter_map(|run| {
-            let (name, result) = run.join().expect("a scenario panicked");
-            result.err().map(|why| format!("{}: {why}", name.unwrap_or_default()))
-        })
-        .collect();
+    let mut broken = Vec::new();
+    for run in runs {
+        let (name, result) = run.join().expect("a scenario panicked");
+        let name = name.unwrap_or_default();
+        match result {
+            Ok(Some(trace)) => println!("trace {name} {}", trace.digest()),
+            Ok(None) => {}
+            Err(why) => broken.push(format!("{name}: {why}")),
+        }
+    }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
