--- a/simulator/src/bin/fake-database.rs
+++ b/simulator/src/bin/fake-database.rs
@@ -1,132 +1,173 @@
-//! A stand-in for a database group and the platform, for trying the daemons on one machine: three
-//! instances that speak the wire, tell of themselves, and take over when the platform is called.
+//! A stand-in for a database group and the platform, to try the daemons on one machine: three instances that speak
+//! the protocol and send heartbeats, and a platform API that promotes them.
 
 use lichenfield_runtime::byte_stream::ByteStream;
 use lichenfield_runtime::http::{self, Answer};
 use lichenfield_runtime::{Executor, Shared, shared};
-use lichenfield_simulator::instance::{self, Instance, Log};
+use lichenfield_simulator::database::{self, DatabaseInstance, GroupContext, GroupLog, Response};
 use lichenfield_simulator::judge::Judge;
 use smol::Async;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const USAGE: &str = "usage: fake-database SERVICE IP FIRST-PORT CONTROL\n\
-    instances listen at FIRST-PORT to FIRST-PORT+2, the platform at FIRST-PORT+3; CONTROL is a controller's ip:port";
-const BEAT: Duration = Duration::from_millis(1000);
-const CALL: Duration = Duration::from_millis(800);
-const PROMOTE: Duration = Duration::from_millis(300);
+const USAGE: &str = "usage: fake-database SERVICE IP FIRST-PORT CONTROLLER\n\
+    instances listen at FIRST-PORT to FIRST-PORT+2 of IP, the platform's API at FIRST-PORT+3;\n\
+    CONTROLLER is the ip:port of a controller, which the instances send heartbeats to";
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// From a call of the platform to the promotion.
+const PROMOTION_TIME: Duration = Duration::from_millis(300);
 const INSTANCES: u16 = 3;
 
+/// The command line.
+struct Arguments {
+    service: String,
+    ip: Ipv4Addr,
+    first_port: u16,
+    controller: SocketAddrV4,
+}
+
+impl Arguments {
+    fn parse(words: &[String]) -> Option<Self> {
+        let [service, ip, first_port, controller] = words else { return None };
+        Some(Arguments {
+            service: service.clone(),
+            ip: ip.parse().ok()?,
+            first_port: first_port.parse().ok()?,
+            controller: controller.parse().ok()?,
+        })
+    }
+
+    /// Address of an instance, or of the platform's API, which follows the last one.
+    fn address(&self, number: u16) -> SocketAddrV4 {
+        SocketAddrV4::new(self.ip, self.first_port + number)
+    }
+}
+
+/// The instances and what they share.
 struct Group {
-    instances: Vec<Instance>,
-    log: Log,
-    began: Instant,
+    instances: Vec<DatabaseInstance>,
+    log: GroupLog,
+    started: Instant,
 }
 
 impl Group {
-    fn take(&mut self, at: usize, conn: u64, text: &str) -> (String, bool) {
-        let now = self.began.elapsed();
-        self.instances[at].follow(now, &self.log);
-        // What clients may ask is not judged here.
-        self.instances[at].take(now, conn, text, &mut self.log, &mut Judge::default())
+    fn new(arguments: &Arguments) -> Self {
+        let instance = |number| {
+            let id = format!("i-{}", arguments.first_port + number);
+            DatabaseInstance::new(id, &arguments.service, "local".into(), number == 0)
+        };
+        Group { instances: (0..INSTANCES).map(instance).collect(), log: GroupLog::new(), started: Instant::now() }
+    }
+
+    fn receive(&mut self, index: usize, connection: u64, text: &str) -> Response {
+        let now = self.started.elapsed();
+        self.instances[index].replicate(now, &self.log);
+        // Clients may ask anything here, so that nothing is judged.
+        let mut context = GroupContext { now, log: &mut self.log, judge: &mut Judge::default() };
+        self.instances[index].receive(connection, text, &mut context)
     }
 
     fn promote(&mut self, id: &str) {
-        let Some(at) = self.instances.iter().position(|i| i.id == id) else { return };
-        if instance::promote(&mut self.instances, at, self.began.elapsed(), &mut self.log).is_some() {
-            println!("{id} leads term {}", self.log.term);
+        let Some(index) = self.instances.iter().position(|instance| instance.id == id) else { return };
+        let now = self.started.elapsed();
+        if database::promote(&mut self.instances, index, now, &mut self.log).is_some() {
+            println!("{id} is the primary of term {}", self.log.term);
         }
     }
 }
 
 fn main() -> Result<(), String> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let [service, ip, port, control] = words.as_slice() else { return Err(USAGE.into()) };
-    let (Ok(ip), Ok(port), Ok(control)) = (ip.parse::<Ipv4Addr>(), port.parse::<u16>(), control.parse()) else {
-        return Err(USAGE.into());
-    };
-    lichenfield_runtime::run(|executor| serve(executor, service.clone(), ip, port, control))
-        .map_err(|e| format!("can't listen: {e}"))
+    let arguments = Arguments::parse(&words).ok_or(USAGE)?;
+    lichenfield_runtime::run(|executor| serve(executor, arguments)).map_err(|error| format!("can't listen: {error}"))
 }
 
-async fn serve(
-    executor: Executor,
-    service: String,
-    ip: Ipv4Addr,
-    port: u16,
-    control: SocketAddrV4,
-) -> std::io::Result<()> {
-    let instance = |n| Instance::new(format!("i-{}", port + n), &service, "local".into(), n == 0);
-    let group = shared(Group {
-        instances: (0..INSTANCES).map(instance).collect(),
-        log: Log { term: 1, ..Log::default() },
-        began: Instant::now(),
-    });
-    for n in 0..INSTANCES {
-        listen(executor, Rc::clone(&group), usize::from(n), SocketAddrV4::new(ip, port + n))?;
+async fn serve(executor: Executor, arguments: Arguments) -> std::io::Result<()> {
+    let group = shared(Group::new(&arguments));
+    for number in 0..INSTANCES {
+        listen(executor, Rc::clone(&group), number.into(), arguments.address(number))?;
     }
-    let platform = Rc::clone(&group);
-    http::serve(executor, SocketAddrV4::new(ip, port + INSTANCES), move |call| {
+    let platform = arguments.address(INSTANCES);
+    serve_platform(executor, Rc::clone(&group), platform)?;
+    println!("{}: instances from {} on, the platform at {platform}", arguments.service, arguments.address(0));
+    loop {
+        for number in 0..INSTANCES {
+            send_heartbeat(executor, &group, &arguments, number).await;
+        }
+        smol::Timer::after(HEARTBEAT_INTERVAL).await;
+    }
+}
+
+/// Promotes the instance that a call names.
+fn serve_platform(executor: Executor, group: Shared<Group>, address: SocketAddrV4) -> std::io::Result<()> {
+    http::serve(executor, address, move |call| {
         println!("platform: {} {}", call.path, String::from_utf8_lossy(&call.body));
         let body: serde_json::Value = serde_json::from_slice(&call.body).unwrap_or_default();
         if let Some(id) = body["id"].as_str().map(str::to_owned) {
-            let group = Rc::clone(&platform);
+            let group = Rc::clone(&group);
             executor
                 .spawn(async move {
-                    smol::Timer::after(PROMOTE).await;
+                    smol::Timer::after(PROMOTION_TIME).await;
                     group.borrow_mut().promote(&id);
                 })
                 .detach();
         }
         async { Answer::status(200) }
-    })?;
-    println!("{service}: instances at {ip}:{port} and on, the platform at {ip}:{}", port + INSTANCES);
-    loop {
-        for n in 0..usize::from(INSTANCES) {
-            let (path, body) = {
-                let mut group = group.borrow_mut();
-                let instance = &mut group.instances[n];
-                let mut beat: serde_json::Value = serde_json::from_str(&instance.beat()).unwrap_or_default();
-                beat["address"] = format!("{ip}:{}", usize::from(port) + n).into();
-                (format!("/api/instances/{}", instance.id), beat.to_string())
-            };
-            let answer = http::call(executor, control, ("PUT", &path), &[], body.into_bytes(), CALL, || true).await;
-            if let Err(why) = answer {
-                println!("{path}: {why}");
-            }
-        }
-        smol::Timer::after(BEAT).await;
+    })
+}
+
+async fn send_heartbeat(executor: Executor, group: &Shared<Group>, arguments: &Arguments, number: u16) {
+    let (path, mut body) = {
+        let mut group = group.borrow_mut();
+        let instance = &mut group.instances[usize::from(number)];
+        (format!("/api/instances/{}", instance.id), instance.next_heartbeat())
+    };
+    body["address"] = arguments.address(number).to_string().into();
+    let body = body.to_string().into_bytes();
+    let target = ("PUT", path.as_str());
+    let answer = http::call(executor, arguments.controller, target, &[], body, HEARTBEAT_TIMEOUT, || true).await;
+    if let Err(error) = answer {
+        println!("{path}: {error}");
     }
 }
 
-fn listen(executor: Executor, group: Shared<Group>, n: usize, at: SocketAddrV4) -> std::io::Result<()> {
-    let listener = Async::<TcpListener>::bind(at)?;
+/// Accepts connections to an instance.
+fn listen(executor: Executor, group: Shared<Group>, index: usize, address: SocketAddrV4) -> std::io::Result<()> {
+    let listener = Async::<TcpListener>::bind(address)?;
     executor
         .spawn(async move {
-            let mut conn = 0;
+            let mut connection = 0;
             while let Ok((stream, _)) = listener.accept().await {
-                conn += 1;
-                executor.spawn(answer(executor, Rc::clone(&group), n, conn, stream)).detach();
+                connection += 1;
+                executor.spawn(handle_connection(executor, Rc::clone(&group), index, connection, stream)).detach();
             }
         })
         .detach();
     Ok(())
 }
 
-async fn answer(executor: Executor, group: Shared<Group>, n: usize, conn: u64, stream: Async<TcpStream>) {
-    let pipe = ByteStream::connected(executor, stream);
-    let back = Rc::clone(&pipe);
-    let heard = Rc::clone(&group);
-    Rc::clone(&pipe)
+/// Answers on a connection until it ends.
+async fn handle_connection(
+    executor: Executor,
+    group: Shared<Group>,
+    index: usize,
+    connection: u64,
+    stream: Async<TcpStream>,
+) {
+    let stream = ByteStream::connected(executor, stream);
+    let answers = Rc::clone(&stream);
+    let receiver = Rc::clone(&group);
+    Rc::clone(&stream)
         .read(move |bytes| {
-            let (answers, ends) = heard.borrow_mut().take(n, conn, &String::from_utf8_lossy(bytes));
-            back.write(answers.as_bytes());
-            if ends {
-                back.close();
+            let response = receiver.borrow_mut().receive(index, connection, &String::from_utf8_lossy(bytes));
+            answers.write(response.text.as_bytes());
+            if response.closes {
+                answers.close();
             }
         })
         .await;
-    group.borrow_mut().instances[n].lines.remove(&conn);
-    pipe.cut();
+    group.borrow_mut().instances[index].close_connection(connection);
+    stream.cut();
 }
--- /dev/null
+++ b/simulator/src/judge/mod.rs
@@ -0,0 +1,275 @@
+//! Invariants that must hold whatever fails. The world reports what happens; the judge records each violation.
+
+mod violation;
+
+pub use violation::{Finding, Violation};
+
+use lichenfield_engine::connection::client_session::Position;
+use lichenfield_engine::process::consensus::Entry;
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::time::Duration;
+
+/// Findings beyond this number are not recorded: the first ones matter.
+const MAX_FINDINGS: usize = 20;
+/// After a change of limits is acknowledged, every pooler enforces it within this time and one quota span.
+const LIMIT_PROPAGATION: Duration = Duration::from_secs(3);
+
+/// How an attempt at an operation ended for its client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// The write was acknowledged.
+    Acknowledged,
+    /// The client was assured that nothing was executed.
+    NotExecuted,
+    /// The client cannot know.
+    Unknown,
+}
+
+/// A commit of one or more writes at an instance.
+#[derive(Debug, Clone)]
+pub struct Commit {
+    /// Its position in the instance's log.
+    pub position: Position,
+    /// Made by a deposed primary, after another had taken over.
+    pub is_late: bool,
+    /// The writes' statement ids.
+    pub statements: Vec<String>,
+    /// Removed from the log at a promotion.
+    pub truncated: bool,
+}
+
+/// A position acknowledged to a client.
+#[derive(Debug, Clone, Copy)]
+pub struct Acknowledgement {
+    /// When the client received it.
+    pub at: Duration,
+    /// The session that wrote.
+    pub session_id: u64,
+    /// The position of the commit.
+    pub position: Position,
+}
+
+/// The state of its session that a statement must find.
+#[derive(Debug, Clone)]
+pub struct ExpectedState {
+    /// Session values, by name.
+    pub values: BTreeMap<String, String>,
+    /// What the prepared name stands for, if the statement runs one.
+    pub shape: Option<String>,
+}
+
+/// A rate limit that an operator has set.
+#[derive(Debug, Clone, Copy)]
+pub struct AcknowledgedLimit {
+    /// When the change was acknowledged.
+    pub at: Duration,
+    /// Operations a second, for each tenant.
+    pub per_second: u32,
+}
+
+/// A call made for a duty, such as failover.
+#[derive(Debug, Clone, Copy)]
+pub struct DutyCall<'a> {
+    /// Name of the duty.
+    pub duty: &'a str,
+    /// Fencing token of the call.
+    pub fence: u64,
+    /// Index of the node that calls.
+    pub node: usize,
+    /// How long a holder's lease of the duty lasts.
+    pub lease: Duration,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct FenceUse {
+    fence: u64,
+    node: usize,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct HolderCall {
+    at: Duration,
+    node: usize,
+}
+
+/// Collects what happens in a world and the rules that were broken.
+#[derive(Debug, Default)]
+pub struct Judge {
+    /// The first violations found, in order.
+    pub findings: Vec<Finding>,
+    /// All commits of writes.
+    pub commits: Vec<Commit>,
+    /// Outcome of each write, by statement id.
+    pub outcomes: HashMap<String, AttemptOutcome>,
+    /// Positions that readers may rely on.
+    pub acknowledgements: Vec<Acknowledgement>,
+    /// What each statement must find, by statement id.
+    pub expected: HashMap<String, ExpectedState>,
+    /// Promotions that took effect.
+    pub promotions: usize,
+    /// Operations begun by clients.
+    pub operations: usize,
+    /// Operations that succeeded.
+    pub succeeded: usize,
+    leaders: BTreeMap<u64, usize>,
+    applied: BTreeMap<u64, Entry>,
+    last_fences: BTreeMap<String, FenceUse>,
+    holder_calls: BTreeMap<String, Vec<HolderCall>>,
+    usage_reports: BTreeMap<u64, String>,
+    /// Attempts that have reached an instance, and when, by tenant.
+    attempts: HashSet<String>,
+    arrivals: BTreeMap<usize, Vec<Duration>>,
+}
+
+impl Judge {
+    /// Records a violation.
+    pub fn report(&mut self, at: Duration, violation: Violation) {
+        if self.findings.len() < MAX_FINDINGS {
+            self.findings.push(Finding { at, violation });
+        }
+    }
+
+    /// Election safety: at most one leader in a term.
+    pub fn record_leader(&mut self, now: Duration, term: u64, node: usize) {
+        if self.leaders.insert(term, node).is_some_and(|other| other != node) {
+            self.report(now, Violation::TwoLeaders { term });
+        }
+    }
+
+    /// State machine safety: no two daemons apply different entries at one index. Log matching and leader
+    /// completeness show in it: what was applied once stays.
+    pub fn record_applied(&mut self, now: Duration, index: u64, entry: &Entry) {
+        match self.applied.get(&index) {
+            Some(known) if known != entry => self.report(now, Violation::ConflictingEntries { index }),
+            Some(_) => {}
+            None => {
+                self.applied.insert(index, entry.clone());
+            }
+        }
+    }
+
+    /// Fencing: a duty's tokens never go back, and its holders do not alternate within a lease.
+    pub fn record_duty_call(&mut self, now: Duration, call: DutyCall) {
+        let DutyCall { duty, fence, node, lease } = call;
+        let duty = duty.to_owned();
+        if let Some(last) = self.last_fences.get(&duty).copied() {
+            if fence < last.fence {
+                self.report(now, Violation::FenceWentBack { duty: duty.clone(), fence, last: last.fence });
+            }
+            if fence == last.fence && last.node != node {
+                self.report(now, Violation::FenceShared { duty: duty.clone(), fence });
+            }
+        }
+        self.last_fences.insert(duty.clone(), FenceUse { fence, node });
+        let calls = self.holder_calls.entry(duty.clone()).or_default();
+        calls.push(HolderCall { at: now, node });
+        let recent = calls.iter().filter(|call| now.saturating_sub(call.at) < lease);
+        let mut order: Vec<usize> = recent.map(|call| call.node).collect();
+        order.dedup();
+        let holders: BTreeSet<&usize> = order.iter().collect();
+        if order.len() > holders.len() {
+            self.report(now, Violation::InterleavedHolders { duty, order });
+        }
+    }
+
+    /// A usage window may be reported again, but with the same counts.
+    pub fn record_usage(&mut self, now: Duration, window: u64, counts: &str) {
+        if self.usage_reports.get(&window).is_some_and(|known| known != counts) {
+            self.report(now, Violation::ConflictingUsage { window });
+        }
+        self.usage_reports.insert(window, counts.to_owned());
+    }
+
+    /// Number of usage windows that were reported.
+    pub fn windows_reported(&self) -> usize {
+        self.usage_reports.len()
+    }
+
+    /// A statement of an attempt reaches an instance.
+    pub fn record_arrival(&mut self, now: Duration, tenant: usize, attempt: &str) {
+        if self.attempts.insert(attempt.to_owned()) {
+            self.arrivals.entry(tenant).or_default().push(now);
+        }
+    }
+
+    /// QUOTA: no span holds more attempts than the limit allows. A changed limit counts once it is known
+    /// everywhere and a span has passed; until then the higher one is allowed.
+    pub fn check_quota(&mut self, limits: &[AcknowledgedLimit], span: Duration, until: Duration) {
+        let mut found = Vec::new();
+        for (tenant, arrivals) in &self.arrivals {
+            found.extend(first_excess(*tenant, arrivals, limits, span, until));
+        }
+        found.into_iter().for_each(|finding| self.report(finding.at, finding.violation));
+    }
+
+    /// Writes: committed once at most, none that was reported as not executed, none of the acknowledged missing.
+    pub fn check_writes(&mut self, now: Duration) {
+        let mut found = self.repeated_writes();
+        found.extend(self.late_writes());
+        found.extend(self.wrong_outcomes());
+        for violation in found {
+            self.report(now, violation);
+        }
+    }
+
+    fn repeated_writes(&self) -> Vec<Violation> {
+        let mut times_committed: HashMap<&String, usize> = HashMap::new();
+        for statement in self.commits.iter().flat_map(|commit| &commit.statements) {
+            *times_committed.entry(statement).or_default() += 1;
+        }
+        let repeated = times_committed.into_iter().filter(|(_, times)| *times > 1);
+        repeated.map(|(statement, times)| Violation::WriteRepeated { statement: statement.clone(), times }).collect()
+    }
+
+    fn late_writes(&self) -> Vec<Violation> {
+        let mut found = Vec::new();
+        for commit in self.commits.iter().filter(|commit| commit.is_late) {
+            for statement in &commit.statements {
+                if self.outcomes.get(statement) == Some(&AttemptOutcome::Acknowledged) {
+                    let term = commit.position.term;
+                    found.push(Violation::LateWriteAcknowledged { statement: statement.clone(), term });
+                }
+            }
+        }
+        found
+    }
+
+    fn wrong_outcomes(&self) -> Vec<Violation> {
+        let committed: HashSet<&String> = self.commits.iter().flat_map(|commit| &commit.statements).collect();
+        let mut found = Vec::new();
+        for (statement, outcome) in &self.outcomes {
+            let statement = statement.clone();
+            match (outcome, committed.contains(&statement)) {
+                (AttemptOutcome::Acknowledged, false) => {
+                    found.push(Violation::AcknowledgedWriteMissing { statement });
+                }
+                (AttemptOutcome::NotExecuted, true) => found.push(Violation::RejectedWriteCommitted { statement }),
+                _ => {}
+            }
+        }
+        found
+    }
+}
+
+/// The first span in which a tenant exceeded its limit. Spans are those that end with an arrival.
+fn first_excess(
+    tenant: usize,
+    arrivals: &[Duration],
+    limits: &[AcknowledgedLimit],
+    span: Duration,
+    until: Duration,
+) -> Option<Finding> {
+    let settle = span + LIMIT_PROPAGATION;
+    for (index, end) in arrivals.iter().enumerate().filter(|(_, at)| **at <= until) {
+        let start = end.saturating_sub(span);
+        let Some(in_force) = limits.iter().rev().find(|limit| limit.at + settle <= *end) else { continue };
+        let newer = limits.iter().filter(|limit| limit.at + settle > *end);
+        let highest = newer.map(|limit| limit.per_second).fold(in_force.per_second, u32::max);
+        let seen = arrivals[..=index].iter().rev().take_while(|at| **at > start).count();
+        let allowed = f64::from(highest) * (span.as_secs_f64() + 1.0);
+        if seen as f64 > allowed {
+            return Some(Finding { at: *end, violation: Violation::QuotaExceeded { tenant, seen, allowed } });
+        }
+    }
+    None
+}
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! Tests only: a simulated network, disk and clock, stand-ins for instances, platform, operator and
+//! Test support: a simulated network, disk and clock, stand-ins for database instances, platform, operators and
 //! clients, and a runner for scenarios written as small text files.
 
-pub mod instance;
+pub mod database;
 pub mod judge;
+pub mod runner;
 pub mod scenario;
 pub mod trace;
 pub mod world;
--- a/simulator/src/trace.rs
+++ b/simulator/src/trace.rs
@@ -1,22 +1,25 @@
-//! A digest of all that a simulated world sends, in order: two runs that agree in it behaved alike.
+//! A digest of everything that a simulated world sends, in order: two runs with the same digest behaved alike.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Set in the environment, it asks for a line `trace NAME DIGEST` for each scenario.
+/// Environment variable that asks for a line `trace NAME DIGEST` for each scenario.
 pub const VARIABLE: &str = "LICHENFIELD_TRACE";
 
-/// An end of what is sent. Daemons go by their addresses: names may change.
+/// A sender or receiver. Daemons are identified by address, because names may change.
 #[derive(Debug, Clone, Copy)]
 pub enum Party {
+    /// A controller or pooler.
     Daemon(Ipv4Addr),
+    /// A database instance, by index.
     Instance(usize),
     /// The session that a client has with a daemon.
     Session(u64),
-    /// None, where a client's session is with no daemon any more.
+    /// No daemon: the session is no longer served by any.
     Unserved,
-    /// An operator's or instance's call.
+    /// An HTTP call of an operator or an instance, by token.
     Caller(u64),
+    /// The platform's API.
     Platform,
 }
 
@@ -24,8 +27,8 @@
     fn bytes(self) -> [u8; 9] {
         let (kind, number) = match self {
             Party::Daemon(ip) => (0, u64::from(u32::from(ip))),
-            Party::Instance(n) => (1, n as u64),
-            Party::Session(id) => (2, id),
+            Party::Instance(index) => (1, index as u64),
+            Party::Session(session_id) => (2, session_id),
             Party::Unserved => (3, 0),
             Party::Caller(token) => (4, token),
             Party::Platform => (5, 0),
@@ -36,18 +39,20 @@
     }
 }
 
+/// A running digest of what was sent.
 #[derive(Default)]
 pub struct Trace {
     hasher: blake3::Hasher,
 }
 
 impl Trace {
-    /// One, if the environment asks for it.
+    /// A new trace, if the environment asks for one.
     pub fn from_environment() -> Option<Self> {
         std::env::var_os(VARIABLE).map(|_| Trace::default())
     }
 
-    pub fn sent(&mut self, at: Duration, from: Party, to: Party, bytes: &[u8]) {
+    /// Adds `bytes` sent at `at`, which counts from the world's beginning.
+    pub fn record(&mut self, at: Duration, from: Party, to: Party, bytes: &[u8]) {
         self.hasher.update(&(at.as_nanos() as u64).to_le_bytes());
         self.hasher.update(&from.bytes());
         self.hasher.update(&to.bytes());
@@ -55,11 +60,12 @@
         self.hasher.update(bytes);
     }
 
-    /// Takes another trace as a part of this one.
-    pub fn add(&mut self, part: &Trace) {
+    /// Adds the digest of another trace.
+    pub fn append(&mut self, part: &Trace) {
         self.hasher.update(part.digest().as_bytes());
     }
 
+    /// The digest of all that was recorded so far.
     pub fn digest(&self) -> blake3::Hash {
         self.hasher.finalize()
     }
--- /dev/null
+++ b/simulator/src/world/clients.rs
@@ -0,0 +1,357 @@
+//! Clients: one session after another, one operation at a time, with retries of what was not executed.
+
+use super::events::Event;
+use super::{ClientIndex, HostIndex, SessionId, World};
+use crate::judge::{Acknowledgement, AttemptOutcome, ExpectedState, Violation};
+use lichenfield_engine::connection::client_session::Position;
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+/// Until a client tries again when no pooler is ready.
+const NO_POOLER_RETRY: Duration = Duration::from_millis(200);
+/// Attempts at an operation.
+const MAX_ATTEMPTS: u32 = 3;
+/// From a failed attempt to the next session, and to the next operation's if this one is given up.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
+const GIVE_UP_DELAY: Duration = Duration::from_millis(100);
+/// From a failed attempt to the end of its session.
+const FAILED_SESSION_CLOSE: Duration = Duration::from_millis(1);
+/// Pause after an operation, and after a lost session, in milliseconds.
+const OPERATION_PAUSE_MILLIS: std::ops::Range<u64> = 20..120;
+const LOST_SESSION_PAUSE_MILLIS: std::ops::Range<u64> = 10..60;
+/// A request that was under way no longer than this when its session was closed may be lost unnoticed.
+const LOSS_SLACK: Duration = Duration::from_millis(200);
+/// For so long after a disturbance requests may be lost.
+const DISTURBANCE_EFFECT: Duration = Duration::from_secs(4);
+/// Every so many operations one sets session values and prepares statements first.
+const PREPARING_OPERATIONS: u64 = 3;
+
+/// Routes that clients use, one for each read consistency.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ClientRoute {
+    Primary,
+    BoundedStaleness,
+    ReadYourWrites,
+}
+
+impl ClientRoute {
+    pub(super) const ALL: [ClientRoute; 3] =
+        [ClientRoute::Primary, ClientRoute::BoundedStaleness, ClientRoute::ReadYourWrites];
+
+    /// Its name in the configuration.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            ClientRoute::Primary => "db-primary",
+            ClientRoute::BoundedStaleness => "db-bounded",
+            ClientRoute::ReadYourWrites => "db-own",
+        }
+    }
+}
+
+/// A statement that a client sends.
+#[derive(Debug, Clone)]
+struct ClientStatement {
+    /// `cCLIENT-OPERATION-ATTEMPT-STATEMENT`; empty for `CONNECT`.
+    id: String,
+    text: String,
+}
+
+impl ClientStatement {
+    fn is_connect(&self) -> bool {
+        self.id.is_empty()
+    }
+
+    fn is_read(&self) -> bool {
+        self.text.starts_with("READ")
+    }
+
+    fn is_write(&self) -> bool {
+        self.text.starts_with("WRITE")
+    }
+
+    fn is_run(&self) -> bool {
+        self.text.starts_with("RUN")
+    }
+
+    fn is_commit(&self) -> bool {
+        self.text == "COMMIT"
+    }
+}
+
+/// A client and its current attempt.
+#[derive(Debug)]
+pub(super) struct Client {
+    /// The pooler that serves its session.
+    pooler: HostIndex,
+    pub(super) session: Option<SessionId>,
+    pub(super) route: ClientRoute,
+    /// Session values that it has set.
+    values: BTreeMap<String, String>,
+    /// Operations begun.
+    operations: u64,
+    /// Attempts at the current operation.
+    attempts: u32,
+    attempt_began: Duration,
+    /// Statements of the attempt that were not sent yet.
+    script: VecDeque<ClientStatement>,
+    /// The statement that was not answered yet, and its answer so far.
+    outstanding: Option<ClientStatement>,
+    reply: String,
+    /// Writes of the attempt.
+    write_ids: Vec<String>,
+    /// Whether the attempt has sent what commits its writes.
+    commit_sent: bool,
+    /// When the attempt's first read or transaction began.
+    pub(super) read_since: Option<Duration>,
+}
+
+impl Client {
+    /// A client without a session.
+    pub(super) fn new(index: ClientIndex, pooler: HostIndex) -> Self {
+        Client {
+            pooler,
+            session: None,
+            route: ClientRoute::ALL[index % ClientRoute::ALL.len()],
+            values: BTreeMap::new(),
+            operations: 0,
+            attempts: 0,
+            attempt_began: Duration::ZERO,
+            script: VecDeque::new(),
+            outstanding: None,
+            reply: String::new(),
+            write_ids: Vec::new(),
+            commit_sent: false,
+            read_since: None,
+        }
+    }
+
+    fn begin_attempt(&mut self, now: Duration) {
+        self.attempt_began = now;
+        self.attempts += 1;
+        self.write_ids.clear();
+        self.commit_sent = false;
+        self.read_since = None;
+    }
+
+    /// The statements of an attempt. `kind` and `extra_values` are random; routes that allow stale reads only read.
+    fn statements(&self, kind: u32, extra_values: u32) -> Vec<String> {
+        let only_reads = self.route == ClientRoute::BoundedStaleness;
+        let prepares = self.operations % PREPARING_OPERATIONS == 1;
+        let mut statements: Vec<String> = Vec::new();
+        if prepares {
+            statements.extend((0..=extra_values).map(|number| format!("SET mode{number} {}", self.operations)));
+            statements.push("PREPARE q READ other".into());
+            statements.push("PREPARE p WRITE shape".into());
+        }
+        let operation: &[&str] = match kind {
+            0 | 1 => &["READ thing"],
+            2 if !only_reads => &["WRITE thing data"],
+            3 if !only_reads => &["BEGIN", "READ thing", "WRITE thing data", "COMMIT"],
+            4 if !only_reads && prepares => &["BEGIN", "RUN p thing data", "COMMIT"],
+            _ => &["BEGIN READ", "READ thing", "READ other", "COMMIT"],
+        };
+        statements.extend(operation.iter().map(|text| (*text).to_owned()));
+        statements
+    }
+
+    /// Takes note of what a statement means for the attempt, before it is sent.
+    fn note_sent(&mut self, now: Duration, statement: &ClientStatement) {
+        let begins_read = statement.is_read() && self.read_since.is_none();
+        if statement.text.starts_with("BEGIN") || begins_read {
+            self.read_since = Some(now);
+        }
+        self.commit_sent |= statement.is_commit() || (statement.is_write() && self.script.is_empty());
+        self.reply.clear();
+        if statement.is_write() || statement.is_run() {
+            self.write_ids.push(statement.id.clone());
+        }
+    }
+
+    /// Takes note of an answered `SET`.
+    fn note_answered(&mut self, statement: &ClientStatement) {
+        let assignment = statement.text.strip_prefix("SET ").and_then(|rest| rest.split_once(' '));
+        if let Some((name, value)) = assignment {
+            self.values.insert(name.to_owned(), value.to_owned());
+        }
+    }
+}
+
+impl World {
+    /// A client opens a session at a pooler that is ready.
+    pub(super) fn connect_client(&mut self, client: ClientIndex) {
+        let state = &self.clients[client];
+        if self.clients_stopped || state.session.is_some() || !state.script.is_empty() {
+            return;
+        }
+        let now = self.instant();
+        let is_ready = |host: &HostIndex| self.hosts[*host].running_pooler().is_some_and(|pooler| pooler.ready(now));
+        let ready: Vec<HostIndex> = (self.controllers..self.hosts.len()).filter(is_ready).collect();
+        if ready.is_empty() {
+            return self.schedule(NO_POOLER_RETRY, Event::ClientConnects(client));
+        }
+        let entry = ready[self.rng.usize(0..ready.len())];
+        let key = &self.operator.keys[client % self.operator.keys.len()];
+        let hello = format!("CONNECT {} {key}\r\n", self.clients[client].route.name());
+        let session_id = self.open_session(entry, client, &hello);
+        let state = &mut self.clients[client];
+        state.pooler = self.sessions[&session_id].pooler;
+        state.session = Some(session_id);
+        state.values.clear();
+        state.outstanding = Some(ClientStatement { id: String::new(), text: "CONNECT".into() });
+        state.reply.clear();
+        self.send_from_client(session_id, &hello);
+    }
+
+    fn begin_operation(&mut self, client: ClientIndex) {
+        self.clients[client].operations += 1;
+        self.clients[client].attempts = 0;
+        self.judge.operations += 1;
+        self.begin_attempt(client);
+    }
+
+    fn begin_attempt(&mut self, client: ClientIndex) {
+        let kind = self.rng.u32(0..5);
+        let extra_values = self.rng.u32(0..3);
+        let state = &mut self.clients[client];
+        state.begin_attempt(self.now);
+        let prefix = format!("c{client}-{}-{}", state.operations, state.attempts);
+        let statements = state.statements(kind, extra_values).into_iter().enumerate();
+        state.script =
+            statements.map(|(number, text)| ClientStatement { id: format!("{prefix}-{number}"), text }).collect();
+        self.send_next_statement(client);
+    }
+
+    /// Sends the attempt's next statement; after the last one the operation has succeeded.
+    fn send_next_statement(&mut self, client: ClientIndex) {
+        let state = &mut self.clients[client];
+        let Some(session_id) = state.session else { return };
+        let Some(statement) = state.script.pop_front() else {
+            return self.finish_operation(client, session_id);
+        };
+        if statement.is_read() || statement.is_write() || statement.is_run() {
+            let shape = statement.is_run().then(|| "WRITE shape".to_owned());
+            let expected = ExpectedState { values: state.values.clone(), shape };
+            self.judge.expected.insert(statement.id.clone(), expected);
+        }
+        state.note_sent(self.now, &statement);
+        let line = format!("QUERY {} {}\r\n", statement.id, statement.text);
+        state.outstanding = Some(statement);
+        self.send_from_client(session_id, &line);
+    }
+
+    fn finish_operation(&mut self, client: ClientIndex, session_id: SessionId) {
+        self.judge.succeeded += 1;
+        self.record_outcome(client, AttemptOutcome::Acknowledged);
+        self.clients[client].outstanding = None;
+        let pause = Duration::from_millis(self.rng.u64(OPERATION_PAUSE_MILLIS));
+        self.schedule(pause, Event::ClientInput { client, session_id, text: Some(String::new()) });
+    }
+
+    fn record_outcome(&mut self, client: ClientIndex, outcome: AttemptOutcome) {
+        for statement in &self.clients[client].write_ids {
+            self.judge.outcomes.insert(statement.clone(), outcome);
+        }
+    }
+
+    /// A client receives bytes or the end of its session, or its pause is over.
+    pub(super) fn deliver_to_client(&mut self, client: ClientIndex, session_id: SessionId, text: Option<String>) {
+        if self.clients[client].session != Some(session_id) {
+            return;
+        }
+        let Some(text) = text else { return self.session_lost(client, session_id) };
+        if text.is_empty() && self.clients[client].outstanding.is_none() {
+            if !self.clients_stopped {
+                self.begin_operation(client);
+            }
+            return;
+        }
+        self.clients[client].reply.push_str(&text);
+        let reply = self.clients[client].reply.clone();
+        let last_line = reply.trim_end().rsplit("\r\n").next().unwrap_or_default();
+        if last_line.starts_with("READY") {
+            self.statement_answered(client, session_id, &reply, last_line);
+        }
+    }
+
+    fn statement_answered(&mut self, client: ClientIndex, session_id: SessionId, reply: &str, ready: &str) {
+        let Some(statement) = self.clients[client].outstanding.take() else {
+            return self.judge.report(self.now, Violation::UnexpectedAnswer { reply: reply.to_owned() });
+        };
+        if statement.is_connect() {
+            return self.begin_operation(client);
+        }
+        if let Some(error) = reply.split("ERROR ").nth(1) {
+            let code = error.split([' ', '\r']).next().unwrap_or_default();
+            return self.attempt_failed(client, session_id, code);
+        }
+        self.clients[client].note_answered(&statement);
+        if statement.is_read() {
+            self.check_freshness(client, &statement.id, reply);
+        }
+        let commits_writes = statement.is_commit() && !self.clients[client].write_ids.is_empty();
+        if statement.is_write() || commits_writes {
+            self.record_acknowledgement(session_id, ready);
+        }
+        self.send_next_statement(client);
+    }
+
+    /// Readers may rely on the position that a write was acknowledged with.
+    fn record_acknowledgement(&mut self, session_id: SessionId, ready: &str) {
+        if !ready.starts_with("READY I") {
+            return;
+        }
+        let Some(position) = ready.split(' ').nth(2).and_then(Position::read) else { return };
+        // Not on one that was truncated meanwhile.
+        let is_truncated = self.judge.commits.iter().any(|commit| commit.position == position && commit.truncated);
+        if !is_truncated {
+            self.judge.acknowledgements.push(Acknowledgement { at: self.now, session_id, position });
+        }
+    }
+
+    /// A session was closed by the other side.
+    fn session_lost(&mut self, client: ClientIndex, session_id: SessionId) {
+        self.sessions.remove(&session_id);
+        let state = &mut self.clients[client];
+        state.session = None;
+        let outstanding = state.outstanding.take();
+        if outstanding.is_some_and(|statement| !statement.is_connect()) {
+            self.check_request_lost(client);
+            let commit_sent = self.clients[client].commit_sent;
+            let outcome = if commit_sent { AttemptOutcome::Unknown } else { AttemptOutcome::NotExecuted };
+            self.record_outcome(client, outcome);
+        }
+        self.clients[client].script.clear();
+        let pause = Duration::from_millis(self.rng.u64(LOST_SESSION_PAUSE_MILLIS));
+        self.schedule(pause, Event::ClientConnects(client));
+    }
+
+    /// LOST: without a disturbance, sessions are closed with an answer only.
+    fn check_request_lost(&mut self, client: ClientIndex) {
+        let is_calm = self.last_disturbance_at.is_none_or(|at| self.now - at > DISTURBANCE_EFFECT);
+        let asked_at = self.clients[client].attempt_began;
+        let slack = LOSS_SLACK + self.network.client_latency;
+        if is_calm && self.now - asked_at > slack {
+            self.judge.report(self.now, Violation::RequestLost { client, asked_at });
+        }
+    }
+
+    /// An attempt was answered with an error. The next one takes a new session, because this one may still be in a
+    /// transaction.
+    fn attempt_failed(&mut self, client: ClientIndex, session_id: SessionId, code: &str) {
+        let not_executed = lichenfield_engine::request::error::is_promise(code) || !self.clients[client].commit_sent;
+        let outcome = if not_executed { AttemptOutcome::NotExecuted } else { AttemptOutcome::Unknown };
+        self.record_outcome(client, outcome);
+        self.clients[client].script.clear();
+        self.schedule(FAILED_SESSION_CLOSE, Event::SessionInput { session_id, text: None });
+        self.sessions.remove(&session_id);
+        let now = self.instant();
+        let state = &mut self.clients[client];
+        state.session = None;
+        if let Some(pooler) = self.hosts[state.pooler].running_pooler_mut() {
+            pooler.handle_client_closed(now, session_id);
+        }
+        let retries = not_executed && state.attempts < MAX_ATTEMPTS;
+        let pause = if retries { RETRY_DELAY } else { GIVE_UP_DELAY };
+        self.schedule(pause, Event::ClientConnects(client));
+    }
+}
--- /dev/null
+++ b/simulator/src/world/hosts.rs
@@ -0,0 +1,362 @@
+//! Machines and the daemons on them: start, stop, disks.
+
+use super::actions::Target;
+use super::{HostIndex, World, network};
+use lichenfield_engine::process::consensus::{PersistentState, Write};
+use lichenfield_engine::process::controller::Controller;
+use lichenfield_engine::process::dissemination::partial_view::{PartialView, PeerDescriptor};
+use lichenfield_engine::process::dissemination::tree::DisseminationTree;
+use lichenfield_engine::process::peer_message::PeerMessage;
+use lichenfield_engine::process::pooler::Pooler;
+use lichenfield_engine::process::settings::Settings;
+use std::collections::VecDeque;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// Bandwidth of a daemon's link, in Mbit/s. Low, so that trees grow deep with few daemons.
+const LINK_MBPS: f64 = 2.0;
+/// Seed nodes in a daemon's settings.
+const SEED_NODES: usize = 3;
+/// Zones that machines are spread over.
+const ZONES: usize = 3;
+/// Of the writes under way when the power fails, fewer than this reach the disk.
+const MAX_SURVIVING_WRITES: usize = 3;
+
+/// A process on a host: it ends with the incarnation.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(super) struct ProcessId {
+    pub(super) host: HostIndex,
+    pub(super) incarnation: u32,
+}
+
+/// A write that a controller has given to its disk.
+pub(super) struct PendingWrite {
+    pub(super) number: u64,
+    pub(super) write: Write,
+}
+
+/// A message that waits for a write to be on the disk.
+pub(super) struct HeldMessage {
+    pub(super) after: u64,
+    pub(super) to: Ipv4Addr,
+    pub(super) message: PeerMessage,
+}
+
+/// A controller and its disk.
+pub(super) struct ControllerNode {
+    pub(super) controller: Option<Box<Controller>>,
+    pub(super) disk: PersistentState,
+    /// Writes that are not on the disk yet.
+    pub(super) pending_writes: VecDeque<PendingWrite>,
+    pub(super) held_messages: Vec<HeldMessage>,
+    /// Number of the last write given to the disk.
+    pub(super) written: u64,
+    /// Number of the last write on the disk.
+    pub(super) durable: u64,
+    /// Whether a sync is under way.
+    pub(super) syncing: bool,
+}
+
+/// A pooler's shutdown.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Drain {
+    pub(super) since: Duration,
+    /// Whether it is started again.
+    pub(super) restarts: bool,
+}
+
+/// A pooler and its dissemination tree.
+pub(super) struct PoolerNode {
+    pub(super) pooler: Option<Box<Pooler>>,
+    pub(super) tree: Option<Box<DisseminationTree>>,
+    /// Revision of the configuration at the last look.
+    pub(super) revision: u64,
+    /// Newest revision acknowledged when this process began.
+    pub(super) revision_at_start: u64,
+    pub(super) drain: Option<Drain>,
+}
+
+/// The daemon that runs on a host.
+pub(super) enum Daemon {
+    Controller(ControllerNode),
+    Pooler(PoolerNode),
+}
+
+/// A machine with one daemon.
+pub(super) struct Host {
+    pub(super) daemon: Daemon,
+    pub(super) ip: Ipv4Addr,
+    /// Counts starts and stops.
+    pub(super) incarnation: u32,
+    pub(super) up: bool,
+    /// Removed for good, or not added yet.
+    pub(super) removed: bool,
+    pub(super) frozen: bool,
+    /// When the process's next tick is scheduled.
+    pub(super) tick_at: Option<Duration>,
+}
+
+impl Host {
+    /// A machine for a controller, with an empty disk of a given id.
+    pub(super) fn controller(index: HostIndex, disk_id: u64) -> Self {
+        Host::new(
+            index,
+            Daemon::Controller(ControllerNode {
+                controller: None,
+                disk: empty_disk(disk_id),
+                pending_writes: VecDeque::new(),
+                held_messages: Vec::new(),
+                written: 0,
+                durable: 0,
+                syncing: false,
+            }),
+        )
+    }
+
+    /// A machine for a pooler.
+    pub(super) fn pooler(index: HostIndex) -> Self {
+        let node = PoolerNode { pooler: None, tree: None, revision: 0, revision_at_start: 0, drain: None };
+        Host::new(index, Daemon::Pooler(node))
+    }
+
+    fn new(index: HostIndex, daemon: Daemon) -> Self {
+        Host {
+            daemon,
+            ip: network::address(index),
+            incarnation: 0,
+            up: false,
+            removed: false,
+            frozen: false,
+            tick_at: None,
+        }
+    }
+
+    /// The running controller, if this host has one.
+    pub(super) fn running_controller(&self) -> Option<&Controller> {
+        match &self.daemon {
+            Daemon::Controller(node) => node.controller.as_deref(),
+            Daemon::Pooler(_) => None,
+        }
+    }
+
+    /// The running controller, to be changed.
+    pub(super) fn running_controller_mut(&mut self) -> Option<&mut Controller> {
+        match &mut self.daemon {
+            Daemon::Controller(node) => node.controller.as_deref_mut(),
+            Daemon::Pooler(_) => None,
+        }
+    }
+
+    /// The running pooler, if this host has one.
+    pub(super) fn running_pooler(&self) -> Option<&Pooler> {
+        match &self.daemon {
+            Daemon::Pooler(node) => node.pooler.as_deref(),
+            Daemon::Controller(_) => None,
+        }
+    }
+
+    /// The running pooler, to be changed.
+    pub(super) fn running_pooler_mut(&mut self) -> Option<&mut Pooler> {
+        match &mut self.daemon {
+            Daemon::Pooler(node) => node.pooler.as_deref_mut(),
+            Daemon::Controller(_) => None,
+        }
+    }
+}
+
+/// How a process ends.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum StopCause {
+    /// What it wrote reaches the disk.
+    ProcessExit,
+    /// Writes under way are lost, but for the first few.
+    PowerLoss,
+}
+
+fn empty_disk(id: u64) -> PersistentState {
+    PersistentState { id, ..PersistentState::default() }
+}
+
+impl World {
+    /// The process that runs on a host.
+    pub(super) fn process(&self, host: HostIndex) -> ProcessId {
+        ProcessId { host, incarnation: self.hosts[host].incarnation }
+    }
+
+    /// Whether a process still runs.
+    pub(super) fn is_live(&self, process: ProcessId) -> bool {
+        let host = &self.hosts[process.host];
+        host.up && host.incarnation == process.incarnation
+    }
+
+    /// The host with an address.
+    pub(super) fn host_with_ip(&self, ip: Ipv4Addr) -> Option<HostIndex> {
+        self.hosts.iter().position(|host| host.ip == ip)
+    }
+
+    /// The hosts that a scenario's target stands for at the moment.
+    pub(super) fn resolve(&self, target: Target) -> Vec<HostIndex> {
+        let leader = self.leader();
+        let mut followers = (0..self.controllers).filter(|host| Some(*host) != leader);
+        match target {
+            Target::Leader => leader.into_iter().collect(),
+            Target::Follower => followers.next().into_iter().collect(),
+            Target::Followers => followers.collect(),
+            Target::Controllers => (0..self.controllers).collect(),
+            Target::Poolers => (self.controllers..self.hosts.len()).collect(),
+            Target::Controller(number) => vec![number],
+            Target::Pooler(number) => vec![self.controllers + number],
+        }
+    }
+
+    /// Starts a daemon, unless it runs or its machine is removed.
+    pub(super) fn start(&mut self, index: HostIndex, bootstrap: bool) {
+        if self.hosts[index].up || self.hosts[index].removed {
+            return;
+        }
+        let settings = self.settings(index, bootstrap);
+        let seed = self.rng.u64(..);
+        let host = &mut self.hosts[index];
+        host.up = true;
+        host.frozen = false;
+        host.incarnation += 1;
+        host.tick_at = None;
+        match host.daemon {
+            Daemon::Controller(_) => self.start_controller(index, &settings, seed),
+            Daemon::Pooler(_) => self.start_pooler(index, &settings, seed),
+        }
+        self.process_effects(index);
+    }
+
+    fn start_controller(&mut self, index: HostIndex, settings: &Settings, seed: u64) {
+        let now = self.instant();
+        let rng = fastrand::Rng::with_seed(seed);
+        let Daemon::Controller(node) = &mut self.hosts[index].daemon else { return };
+        node.controller = Some(Box::new(Controller::new(now, settings, node.disk.clone(), rng)));
+        node.written = 0;
+        node.durable = 0;
+        node.syncing = false;
+        self.applied[index] = 0;
+    }
+
+    fn start_pooler(&mut self, index: HostIndex, settings: &Settings, seed: u64) {
+        let now = self.instant();
+        let rng = fastrand::Rng::with_seed(seed);
+        let descriptor = PeerDescriptor {
+            name: settings.node_name.clone(),
+            ip: settings.ip,
+            zone: settings.zone.clone(),
+            control: None,
+            age: 0,
+        };
+        let seeds = settings.seed_nodes.iter().map(|address| *address.ip()).collect();
+        let view = PartialView::new(descriptor, rng);
+        let pooler = Pooler::new(now, &settings.node_name, &settings.zone, settings.timing_bounds.clone(), seed);
+        let Daemon::Pooler(node) = &mut self.hosts[index].daemon else { return };
+        node.pooler = Some(Box::new(pooler));
+        node.tree = Some(Box::new(DisseminationTree::new(now, view, seeds, false, LINK_MBPS)));
+        node.revision = 0;
+        node.revision_at_start = self.operator.acknowledged_revision;
+        node.drain = None;
+    }
+
+    /// The settings of a daemon. Its seed nodes are the first machines of the operator's list as it stands.
+    fn settings(&self, index: HostIndex, bootstrap: bool) -> Settings {
+        let ip = self.hosts[index].ip;
+        let is_founder = |controller: HostIndex| controller < self.config.controllers;
+        let is_listed = |controller: &HostIndex| {
+            self.hosts.get(*controller).map_or_else(|| is_founder(*controller), |host| !host.removed)
+        };
+        let seed_nodes: Vec<String> = (0..self.controllers)
+            .filter(is_listed)
+            .take(SEED_NODES)
+            .map(|controller| format!("\"{}:80\"", network::address(controller)))
+            .collect();
+        let text = format!(
+            r#"
+            node-name = "n{index}"
+            ip = "{ip}"
+            zone = "z{zone}"
+            internal-ports = [7000, 7001]
+            seed-nodes = [{seed_nodes}]
+            bootstrap = {bootstrap}
+            in-quorum = {in_quorum}
+            beat-ms = 1200
+            [tolerance]
+            machines = {tolerance}
+            [listen]
+            control = "{ip}:80"
+            [platform]
+            address = "10.8.0.1:80"
+            "#,
+            zone = index % ZONES,
+            seed_nodes = seed_nodes.join(","),
+            in_quorum = index < self.controllers,
+            tolerance = self.config.tolerance,
+        );
+        Settings::read(&text).expect("the simulation's own settings are valid")
+    }
+
+    /// Ends a process, and the sessions and connections that it has.
+    pub(super) fn stop(&mut self, index: HostIndex, cause: StopCause) {
+        let host = &mut self.hosts[index];
+        host.up = false;
+        host.incarnation += 1;
+        let surviving_writes = match cause {
+            StopCause::ProcessExit => usize::MAX,
+            StopCause::PowerLoss => self.rng.usize(0..MAX_SURVIVING_WRITES),
+        };
+        match &mut host.daemon {
+            Daemon::Controller(node) => {
+                node.controller = None;
+                for pending in node.pending_writes.drain(..).take(surviving_writes) {
+                    node.disk.apply(pending.write);
+                }
+                node.held_messages.clear();
+            }
+            Daemon::Pooler(node) => {
+                node.pooler = None;
+                node.tree = None;
+            }
+        }
+        self.end_sessions_of(index);
+        self.end_connections_of(index);
+    }
+
+    /// Kills a process and starts it at once.
+    pub(super) fn crash_restart(&mut self, index: HostIndex) {
+        self.stop(index, StopCause::ProcessExit);
+        self.start(index, false);
+    }
+
+    /// Takes a machine away.
+    pub(super) fn remove_host(&mut self, index: HostIndex) {
+        self.stop(index, StopCause::PowerLoss);
+        self.hosts[index].removed = true;
+    }
+
+    /// Starts a machine that was removed or spare.
+    pub(super) fn add_host(&mut self, index: HostIndex) {
+        self.hosts[index].removed = false;
+        self.start(index, false);
+    }
+
+    /// Replaces a machine's disk by an empty one.
+    pub(super) fn wipe_disk(&mut self, index: HostIndex) {
+        self.stop(index, StopCause::PowerLoss);
+        let id = self.rng.u64(1..);
+        if let Daemon::Controller(node) = &mut self.hosts[index].daemon {
+            node.disk = empty_disk(id);
+        }
+    }
+
+    /// Starts every daemon that is down.
+    pub(super) fn start_all(&mut self) {
+        (0..self.hosts.len()).for_each(|index| self.start(index, false));
+    }
+
+    /// Lets frozen processes go on.
+    pub(super) fn unfreeze_all(&mut self) {
+        self.hosts.iter_mut().for_each(|host| host.frozen = false);
+    }
+}
