--- a/simulator/src/judge/mod.rs
+++ b/simulator/src/judge/mod.rs
@@ -1,5 +1,7 @@
 //! Invariants that must hold whatever fails. The world reports what happens; the judge records each violation.
 
+#[cfg(test)]
+mod tests;
 mod violation;
 
 pub use violation::{Finding, Violation};
--- a/simulator/src/judge/violation.rs
+++ b/simulator/src/judge/violation.rs
@@ -52,27 +52,27 @@
         window: u64,
     },
     /// A daemon started with a configuration older than one acknowledged before its start.
-    #[error("CONFIG: n{node} begins with {revision}, {in_force} was in force")]
+    #[error("CONFIG: n{node} starts with revision {revision}, {in_force} was in force")]
     ConfigStartedBehind {
         /// Index of the daemon.
         node: usize,
-        /// The revision that the daemon goes by.
+        /// The revision that the daemon uses.
         revision: u64,
         /// The revision that was acknowledged before.
         in_force: u64,
     },
     /// A daemon's configuration went back to an earlier revision.
-    #[error("CONFIG: n{node} goes back")]
+    #[error("CONFIG: n{node} goes back to an earlier revision")]
     ConfigWentBack {
         /// Index of the daemon.
         node: usize,
     },
     /// A daemon had not converged on the newest acknowledged revision at the end.
-    #[error("CONFIG: n{node} ends at {revision}, {acknowledged} was acknowledged")]
+    #[error("CONFIG: n{node} ends at revision {revision}, {acknowledged} was acknowledged")]
     ConfigEndedBehind {
         /// Index of the daemon.
         node: usize,
-        /// The revision that the daemon goes by.
+        /// The revision that the daemon uses.
         revision: u64,
         /// The newest acknowledged revision.
         acknowledged: u64,
@@ -101,21 +101,21 @@
         allowed: f64,
     },
     /// A session was closed without an answer while nothing had failed.
-    #[error("LOST: c{client} asked at {:.3} s", .asked_at.as_secs_f64())]
+    #[error("LOST: c{client} got no answer, its attempt began at {:.3} s", .began_at.as_secs_f64())]
     RequestLost {
         /// Number of the client.
         client: usize,
         /// When the attempt began.
-        asked_at: Duration,
+        began_at: Duration,
     },
     /// A client received an answer without an outstanding statement.
-    #[error("MIXED: an answer to nothing: {reply:?}")]
+    #[error("MIXED: an answer without a statement: {reply:?}")]
     UnexpectedAnswer {
         /// What was received.
         reply: String,
     },
     /// A read missed a commit that the route's consistency promises.
-    #[error("STALE: {statement} on {route} saw {seen}, owed {owed}")]
+    #[error("STALE: {statement} on {route} saw {seen}, must see {required}")]
     StaleRead {
         /// Id of the statement.
         statement: String,
@@ -124,7 +124,7 @@
         /// Position that the read saw.
         seen: Position,
         /// Position that the read should have seen.
-        owed: Position,
+        required: Position,
     },
     /// A statement ran with other session values than the client had set.
     #[error("PINNED: {statement} ran with values {found:?}, not {expected:?}")]
@@ -147,13 +147,13 @@
         expected: Option<String>,
     },
     /// A statement that no client had sent.
-    #[error("UNASKED: {statement} was asked by no client")]
+    #[error("UNASKED: {statement} was sent by no client")]
     UnknownStatement {
         /// Id of the statement.
         statement: String,
     },
     /// A write was committed more than once.
-    #[error("write {statement} took effect {times} times")]
+    #[error("write {statement} was committed {times} times")]
     WriteRepeated {
         /// Id of the statement.
         statement: String,
@@ -161,7 +161,7 @@
         times: usize,
     },
     /// A deposed primary's write was acknowledged.
-    #[error("ONE: write {statement} of term {term} was acknowledged after a promote")]
+    #[error("ONE: write {statement} of term {term} was acknowledged after a promotion")]
     LateWriteAcknowledged {
         /// Id of the statement.
         statement: String,
@@ -175,7 +175,7 @@
         statement: String,
     },
     /// A write was committed although its client was told that it was not executed.
-    #[error("write {statement} is committed, and its client was promised not")]
+    #[error("write {statement} is committed, and its client was told that it was not executed")]
     RejectedWriteCommitted {
         /// Id of the statement.
         statement: String,
--- a/simulator/src/world/clients.rs
+++ b/simulator/src/world/clients.rs
@@ -328,10 +328,10 @@
     /// LOST: without a disturbance, sessions are closed with an answer only.
     fn check_request_lost(&mut self, client: ClientIndex) {
         let is_calm = self.last_disturbance_at.is_none_or(|at| self.now - at > DISTURBANCE_EFFECT);
-        let asked_at = self.clients[client].attempt_began;
+        let began_at = self.clients[client].attempt_began;
         let slack = LOSS_SLACK + self.network.client_latency;
-        if is_calm && self.now - asked_at > slack {
-            self.judge.report(self.now, Violation::RequestLost { client, asked_at });
+        if is_calm && self.now - began_at > slack {
+            self.judge.report(self.now, Violation::RequestLost { client, began_at });
         }
     }
 
--- a/simulator/src/world/connections.rs
+++ b/simulator/src/world/connections.rs
@@ -45,7 +45,7 @@
             Some(instance) => {
                 self.connections.insert(connection, instance);
             }
-            // Whichever instance is named here, it is only looked at for being isolated.
+            // There is no instance to name; the receiver only checks that the named one is not isolated.
             None => self.schedule(CLOSE_DELAY, Event::InstanceOutput { connection, instance: 0, text: None }),
         }
     }
--- a/simulator/src/world/database_group.rs
+++ b/simulator/src/world/database_group.rs
@@ -145,7 +145,7 @@
         self.process_effects(process.host);
     }
 
-    /// An instance becomes the primary. What it had not received is truncated, and owed to no reader.
+    /// An instance becomes the primary. What it had not received is truncated, and no reader may rely on it.
     pub(super) fn promote(&mut self, index: InstanceIndex) {
         let Some(kept) = database::promote(&mut self.instances, index, self.now, &mut self.log) else { return };
         for commit in self.judge.commits.iter_mut().filter(|commit| commit.position > kept) {
--- a/simulator/src/world/draining.rs
+++ b/simulator/src/world/draining.rs
@@ -7,7 +7,7 @@
 use lichenfield_engine::connection::draining::{CLOSED_AT_ONCE, DrainPhase};
 use std::time::Duration;
 
-/// How long a pooler that was told to end may take, by the settings.
+/// How long a pooler's graceful shutdown may take, by the settings.
 const DRAIN_GRACE: Duration = Duration::from_secs(6);
 /// New clients come to a pooler for a while after it has announced that it ends.
 const NEW_CLIENTS_PERIOD: Duration = Duration::from_millis(2600);
@@ -17,7 +17,7 @@
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 impl World {
-    /// Poolers are told to end (SIGTERM).
+    /// Begins the graceful shutdown of poolers (SIGTERM).
     pub(super) fn drain_poolers(&mut self, target: Target, restarts: bool) {
         let now = self.instant();
         let since = self.now;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Poolers are told to end one after the other, and each is started again.
+    /// Shuts poolers down gracefully one after the other, and starts each again.
     pub(super) fn rolling_restart(&mut self, target: Target, interval: Duration) {
         for (position, host) in self.resolve(target).into_iter().enumerate() {
             let pooler = Target::Pooler(host - self.controllers);
--- a/simulator/src/world/effects.rs
+++ b/simulator/src/world/effects.rs
@@ -130,7 +130,7 @@
         self.process_effects(process.host);
     }
 
-    /// Reports the entries that a controller has applied since the last look.
+    /// Reports the entries that a controller has applied since the last check.
     fn check_applied(&mut self, host: HostIndex) {
         let Some(controller) = self.hosts[host].running_controller() else { return };
         let newest = controller.control_state().applied_index;
--- a/simulator/src/world/events.rs
+++ b/simulator/src/world/events.rs
@@ -10,7 +10,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
-/// How often a frozen process's events are looked at again.
+/// How often a frozen process's events are tried again.
 const FROZEN_RETRY: Duration = Duration::from_millis(20);
 
 /// Something that happens at a time.
--- a/simulator/src/world/hosts.rs
+++ b/simulator/src/world/hosts.rs
@@ -69,7 +69,7 @@
 pub(super) struct PoolerNode {
     pub(super) pooler: Option<Box<Pooler>>,
     pub(super) tree: Option<Box<DisseminationTree>>,
-    /// Revision of the configuration at the last look.
+    /// Revision of the configuration at the last check.
     pub(super) revision: u64,
     /// Newest revision acknowledged when this process began.
     pub(super) revision_at_start: u64,
--- a/simulator/src/world/measures.rs
+++ b/simulator/src/world/measures.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Revision that a running daemon goes by.
+    /// Revision of the configuration that a running daemon uses.
     fn revision_of(&self, index: HostIndex) -> Option<u64> {
         let host = &self.hosts[index];
         let controller = host.running_controller().map(|controller| controller.control_state().revision());
--- a/simulator/src/world/reads.rs
+++ b/simulator/src/world/reads.rs
@@ -22,16 +22,16 @@
         let own_session = state.session;
         let is_old = |write: &Acknowledgement| write.at + MAX_STALENESS < since;
         let is_own = |write: &Acknowledgement| Some(write.session_id) == own_session && write.at < since;
-        let is_owed = |write: &&Acknowledgement| match route {
+        let is_required = |write: &&Acknowledgement| match route {
             ClientRoute::Primary => write.at < since,
             ClientRoute::BoundedStaleness => is_old(write),
             ClientRoute::ReadYourWrites => is_old(write) || is_own(write),
         };
-        let owed = self.judge.acknowledgements.iter().filter(is_owed).map(|write| write.position).max();
-        let owed = owed.unwrap_or(BEFORE_ALL);
-        if seen < owed {
+        let required = self.judge.acknowledgements.iter().filter(is_required).map(|write| write.position).max();
+        let required = required.unwrap_or(BEFORE_ALL);
+        if seen < required {
             let statement = statement.to_owned();
-            let violation = Violation::StaleRead { statement, route: route.name(), seen, owed };
+            let violation = Violation::StaleRead { statement, route: route.name(), seen, required };
             self.judge.report(self.now, violation);
         }
     }
--- a/simulator/src/world/sessions.rs
+++ b/simulator/src/world/sessions.rs
@@ -6,7 +6,7 @@
 use lichenfield_engine::process::forwarding::{self, ForwardedSession};
 use std::time::Duration;
 
-/// How often a session that lost its carrier is looked at until it may be closed.
+/// How often a session that lost its carrier is checked until it may be closed.
 const SEVERED_RETRY: Duration = Duration::from_millis(200);
 /// How long the pooler that a session came to takes to reach the carrier.
 const FORWARDING_DELAY: Duration = Duration::from_millis(2);
@@ -115,10 +115,10 @@
         let Some(forwarding) = self.forwarded_sessions.get_mut(&session_id) else {
             return self.send_to_client(session_id, text);
         };
-        let heard = forwarding.session.carrier_said(text.as_bytes());
+        let output = forwarding.session.carrier_said(text.as_bytes());
         let entry = forwarding.entry_pooler;
-        let text = String::from_utf8_lossy(&heard.down).into_owned();
-        if let (Some(revision), Some(pooler)) = (heard.seen, self.hosts[entry].running_pooler_mut()) {
+        let text = String::from_utf8_lossy(&output.down).into_owned();
+        if let (Some(revision), Some(pooler)) = (output.seen, self.hosts[entry].running_pooler_mut()) {
             pooler.require_revision(revision);
         }
         let (now, phase) = (self.instant(), self.drain_phase(entry));
@@ -126,7 +126,7 @@
         let may_close = forwarding.is_some_and(|forwarding| forwarding.session.may_close(now, phase, true));
         let answered = !text.is_empty() && may_close;
         self.send_to_client(session_id, text);
-        if heard.part || answered {
+        if output.part || answered {
             self.close_session_if_read(session_id);
         }
     }
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Closes a session that lost its carrier, or looks again later.
+    /// Closes a session that lost its carrier, or checks again later.
     pub(super) fn close_severed_session(&mut self, session_id: SessionId) {
         let now = self.instant();
         let Some(forwarding) = self.forwarded_sessions.get(&session_id) else { return };
