--- a/simulator/src/bin/fake-database.rs
+++ b/simulator/src/bin/fake-database.rs
@@ -8,6 +8,7 @@
 use lichenfield_simulator::judge::Judge;
 use smol::Async;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
+use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -78,10 +79,19 @@
     }
 }
 
-fn main() -> Result<(), String> {
+fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let arguments = Arguments::parse(&words).ok_or(USAGE)?;
-    lichenfield_runtime::run(|executor| serve(executor, arguments)).map_err(|error| format!("can't listen: {error}"))
+    let Some(arguments) = Arguments::parse(&words) else {
+        eprintln!("{USAGE}");
+        return ExitCode::FAILURE;
+    };
+    match lichenfield_runtime::run(|executor| serve(executor, arguments)) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("fake-database: can't listen: {error}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
 async fn serve(executor: Executor, arguments: Arguments) -> std::io::Result<()> {
--- a/simulator/src/bin/scale-report.rs
+++ b/simulator/src/bin/scale-report.rs
@@ -63,7 +63,7 @@
         eprintln!("{USAGE}");
         std::process::exit(2);
     };
-    println!("{:29} {:>11} {:>13} {:>9}", "mean pooler", "highest", "memory of", "CPU ms a");
+    println!("{:>30} {:>11} {:>13} {:>9}", "mean pooler", "highest", "memory of", "CPU ms a");
     println!("{:>8} {:>8} {:>12} {:>11} {:>13} {:>9}", "poolers", "services", "B/s", "B/s", "a daemon, KB", "second");
     sizes.into_iter().for_each(report);
 }
