--- a/simulator/src/judge/mod.rs
+++ b/simulator/src/judge/mod.rs
@@ -102,7 +102,7 @@
     /// All commits of writes.
     pub commits: Vec<Commit>,
     /// Outcome of each write, by statement id.
-    pub outcomes: HashMap<String, AttemptOutcome>,
+    pub outcomes: BTreeMap<String, AttemptOutcome>,
     /// Positions that readers may rely on.
     pub acknowledgements: Vec<Acknowledgement>,
     /// What each statement must find, by statement id.
@@ -215,7 +215,7 @@
     }
 
     fn repeated_writes(&self) -> Vec<Violation> {
-        let mut times_committed: HashMap<&String, usize> = HashMap::new();
+        let mut times_committed: BTreeMap<&String, usize> = BTreeMap::new();
         for statement in self.commits.iter().flat_map(|commit| &commit.statements) {
             *times_committed.entry(statement).or_default() += 1;
         }
--- a/simulator/src/world/connections.rs
+++ b/simulator/src/world/connections.rs
@@ -18,7 +18,7 @@
 const CLIENT_STATEMENT: &str = "QUERY c";
 
 /// A connection of a pooler's process.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionKey {
     pub(super) process: ProcessId,
     pub(super) connection: u64,
--- a/simulator/src/world/hosts.rs
+++ b/simulator/src/world/hosts.rs
@@ -23,7 +23,7 @@
 const MAX_SURVIVING_WRITES: usize = 3;
 
 /// A process on a host: it ends with the incarnation.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProcessId {
     pub(super) host: HostIndex,
     pub(super) incarnation: u32,
--- a/simulator/src/world/mod.rs
+++ b/simulator/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! The simulated world: machines, network, disks and time, and stand-ins for all that surrounds the daemons.
 //!
-//! Everything happens as an event at a simulated time. With the same seed, and the same iteration order of the
-//! collections involved, a world behaves alike in each run.
+//! Everything happens as an event at a simulated time. Collections of the world that are iterated are ordered, so
+//! that a world behaves alike in each run with the same seed, as far as the daemons in it do.
 
 pub mod actions;
 mod clients;
@@ -33,7 +33,7 @@
 use network::Network;
 use operator::Operator;
 use sessions::{Forwarding, Session};
-use std::collections::{HashMap, HashSet};
+use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
 
 /// The service that clients use.
@@ -122,15 +122,15 @@
     log: GroupLog,
     /// Instances of the idle services.
     idle_instances: Vec<DatabaseInstance>,
-    connections: HashMap<ConnectionKey, InstanceIndex>,
+    connections: BTreeMap<ConnectionKey, InstanceIndex>,
     platform_reachable: bool,
     operator: Operator,
     clients: Vec<Client>,
     clients_stopped: bool,
-    sessions: HashMap<SessionId, Session>,
+    sessions: BTreeMap<SessionId, Session>,
     next_session_id: SessionId,
     /// Sessions that the pooler they came to forwards to another.
-    forwarded_sessions: HashMap<SessionId, Forwarding>,
+    forwarded_sessions: BTreeMap<SessionId, Forwarding>,
     forwarded_session_count: usize,
     /// Sessions with input that a frozen pooler has not read.
     unread_sessions: HashSet<SessionId>,
@@ -173,10 +173,10 @@
             operator: Operator::new(),
             clients: Vec::new(),
             clients_stopped: false,
-            sessions: HashMap::new(),
-            connections: HashMap::new(),
+            sessions: BTreeMap::new(),
+            connections: BTreeMap::new(),
             next_session_id: 1,
-            forwarded_sessions: HashMap::new(),
+            forwarded_sessions: BTreeMap::new(),
             forwarded_session_count: 0,
             unread_sessions: HashSet::new(),
             judge: Judge::default(),
