--- a/controller/src/store/golden.rs
+++ b/controller/src/store/golden.rs
@@ -1,20 +1,21 @@
-//! Golden stores: folders as earlier versions left them, which this one reads and goes on with.
+//! Golden stores: folders as earlier versions left them, which this version opens and writes on.
 //!
-//! `tests/golden/NAME/queen.log` is never written anew; each file's bytes are also written again from the values
-//! that led to it, so that the format is pinned in both directions.
+//! `tests/golden/NAME/queen.log` is never regenerated; each file's bytes are also encoded from the values that led to
+//! it, so that the format is pinned in both directions.
 
 use super::*;
-use lichenfield_engine::process::consensus::{Entry, Snapshot};
+use lichenfield_engine::process::consensus::{Entry, HardState, IndexedEntry, Snapshot};
 use lichenfield_engine::version::control_state::{Command, ProposalId};
 use lichenfield_engine::version::electorate::{Electorate, Voter};
+use std::path::PathBuf;
 
-const DISK: u64 = 128 << 20;
+const DISK_BYTES: u64 = 128 << 20;
 const ID: u64 = 7_000_000_001;
-/// Of the torn store's last record so many bytes are missing.
-const TORN: u64 = 5;
+/// How many bytes of the torn store's last record are missing.
+const TORN_BYTES: u64 = 5;
 
 fn golden(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join(FILE)
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name).join(FILE_NAME)
 }
 
 /// An empty folder that is removed at the end.
@@ -28,7 +29,7 @@
         Scratch(path)
     }
     fn bytes(&self) -> Vec<u8> {
-        std::fs::read(self.0.join(FILE)).expect("the file")
+        std::fs::read(self.0.join(FILE_NAME)).expect("the file")
     }
 }
 
@@ -42,11 +43,11 @@
     Voter { id: ID + u64::from(n), ip: std::net::Ipv4Addr::new(10, 1, 2, n) }
 }
 
-fn entry(index: u64) -> (u64, Entry) {
+fn entry(index: u64) -> IndexedEntry {
     let mark = ProposalId { proposer: 400 + index, serial: 500 + index };
     let command =
         Command::InstallPrimary { service: "service".into(), epoch: index, primary: "primary".into(), term: 600 };
-    (index, Entry { term: 20 + index, proposal_id: mark, command })
+    IndexedEntry { index, entry: Entry { term: 20 + index, proposal_id: mark, command } }
 }
 
 fn entries(range: std::ops::RangeInclusive<u64>) -> Write {
@@ -60,14 +61,14 @@
 
 /// The first write goes into the whole state: a snapshot at 4, and entries from 3 on.
 fn first_write() -> Write {
-    Write { hard_state: Some((30, Some(ID + 2))), ..entries(1..=6) }
+    Write { hard_state: Some(HardState { term: 30, vote: Some(ID + 2) }), ..entries(1..=6) }
 }
 
 /// Writes behind it, of each kind: entries, a vote, a cut, a newer snapshot, entries again.
 fn later_writes() -> [Write; 5] {
     [
         entries(7..=9),
-        Write { hard_state: Some((31, None)), ..Write::default() },
+        Write { hard_state: Some(HardState { term: 31, vote: None }), ..Write::default() },
         Write { truncate: Some(9), ..entries(9..=10) },
         Write { snapshot: Some(snapshot(8)), trim: Some(5), ..Write::default() },
         entries(11..=11),
@@ -80,25 +81,25 @@
 
 /// Writes the golden store of this name into the folder, as its file was written.
 fn write_store(name: &str, folder: &Path) {
-    let mut store = Store::try_open(folder, DISK, ID).expect("founded");
+    let mut store = Store::try_open(folder, DISK_BYTES, ID).expect("founded");
     if name == "fresh" {
         return;
     }
     let trim = Write { snapshot: Some(snapshot(4)), trim: Some(2), ..Write::default() };
-    store.write_whole(&[first_write(), trim]).expect("written whole");
+    store.rewrite(&[first_write(), trim]).expect("written whole");
     for write in later_writes() {
         store.write(&[write]).expect("written");
     }
     match name {
         "reset" => store.write(&[reset_write(), entries(41..=42)]).expect("written"),
-        "torn" => store.disk.cut(store.length - TORN).expect("cut"),
+        "torn" => store.disk.truncate(store.valid_length - TORN_BYTES).expect("cut"),
         _ => {}
     }
 }
 
 /// What is read back from it.
 fn expected(name: &str) -> PersistentState {
-    let log = |range: std::ops::RangeInclusive<u64>| range.map(|index| entry(index).1).collect();
+    let log = |range: std::ops::RangeInclusive<u64>| range.map(|index| entry(index).entry).collect();
     let full = PersistentState {
         id: ID,
         term: 31,
@@ -120,7 +121,7 @@
 const NAMES: [&str; 4] = ["fresh", "full", "reset", "torn"];
 
 #[test]
-fn stores_are_written_as_before() {
+fn stores_are_encoded_as_before() {
     for name in NAMES {
         let scratch = Scratch::new(&format!("written-{name}"));
         write_store(name, &scratch.0);
@@ -130,25 +131,28 @@
 }
 
 #[test]
-fn old_stores_are_read_and_gone_on_with() {
+fn old_stores_are_opened_and_written_on() {
     for name in NAMES {
         let scratch = Scratch::new(&format!("read-{name}"));
-        std::fs::copy(golden(name), scratch.0.join(FILE)).expect("copied");
-        let mut store = Store::try_open(&scratch.0, DISK, 1).expect("opened");
+        std::fs::copy(golden(name), scratch.0.join(FILE_NAME)).expect("copied");
+        let mut store = Store::try_open(&scratch.0, DISK_BYTES, 1).expect("opened");
         let mut state = expected(name);
         assert_eq!(store.state, state, "{name}");
-        assert_eq!(store.dirty, name == "torn", "{name}: something is cut before the next write");
+        assert_eq!(store.has_torn_tail, name == "torn", "{name}: something is cut before the next write");
 
         let next = state.last_index() + 1;
-        let writes = [entries(next..=next + 1), Write { hard_state: Some((99, Some(ID + 9))), ..Write::default() }];
+        let writes = [
+            entries(next..=next + 1),
+            Write { hard_state: Some(HardState { term: 99, vote: Some(ID + 9) }), ..Write::default() },
+        ];
         store.write(&writes).expect("written on");
         drop(store);
         assert!(writes.into_iter().all(|write| state.apply(write)), "{name}: the writes fit");
-        let mut store = Store::try_open(&scratch.0, DISK, 2).expect("opened again");
+        let mut store = Store::try_open(&scratch.0, DISK_BYTES, 2).expect("opened again");
         assert_eq!(store.state, state, "{name}: opened again");
 
-        store.write_whole(&[]).expect("written anew");
+        store.rewrite(&[]).expect("written anew");
         drop(store);
-        assert_eq!(Store::try_open(&scratch.0, DISK, 3).expect("opened at last").state, state, "{name}: anew");
+        assert_eq!(Store::try_open(&scratch.0, DISK_BYTES, 3).expect("opened at last").state, state, "{name}: anew");
     }
 }
