--- a/controller/src/store/mod.rs
+++ b/controller/src/store/mod.rs
@@ -4,7 +4,7 @@
 //! of one sync. A record is written only once the one before it is synced, so whatever is lost or torn is at the end,
 //! and was never reported as durable; a bad record with a good one behind it is damage, and the store is refused. When
 //! the file has grown it is written anew under another name, which takes its place once it is synced.
-//! `docs/architecture.md` tells why this is not `fjall`.
+//! `docs/store.md` says why this is not `fjall`.
 //!
 //! One thread writes. A disk that refuses or hangs is waited for: nothing is reported as durable meanwhile.
 //!
--- a/engine/src/process/consensus/election.rs
+++ b/engine/src/process/consensus/election.rs
@@ -166,7 +166,7 @@
         for peer in self.other_voters() {
             self.track_peer(now, peer, first_index);
         }
-        // The first electorate goes through the log too, so that a voter which was not told of all the
+        // The first electorate goes through the log too, so that a voter which missed some of the
         // founders learns it from the others.
         let is_founding = self.log.electorate_index() == 0 && self.log.snapshot().index == 0;
         let electorate = self.log.electorate().clone();
--- a/engine/src/process/controller/mod.rs
+++ b/engine/src/process/controller/mod.rs
@@ -96,13 +96,7 @@
 impl Controller {
     /// A daemon that starts with what its disk holds.
     pub fn new(now: Instant, settings: &Settings, stored: PersistentState, mut rng: fastrand::Rng) -> Self {
-        let descriptor = PeerDescriptor {
-            name: settings.node_name.clone(),
-            ip: settings.ip,
-            zone: settings.zone.clone(),
-            control: settings.listen.control,
-            age: 0,
-        };
+        let descriptor = PeerDescriptor::of_daemon(settings, settings.listen.control);
         let membership = Membership::new(settings);
         let election_timeout = Duration::from_millis(settings.election.t_ms);
         let parameters = Parameters::new(election_timeout, LEADER_CONFIRMATION, settings.tolerance.machines);
--- a/engine/src/process/controller/peer_messages.rs
+++ b/engine/src/process/controller/peer_messages.rs
@@ -4,9 +4,9 @@
 use super::{Controller, leader_context};
 use crate::process::consensus;
 use crate::process::dissemination::anti_entropy::{Digests, UpdateValue};
-use crate::process::leadership::{self, LEASE_DURATION, LeaseDecision};
+use crate::process::leadership::{LEASE_DURATION, LeaseDecision};
 use crate::process::peer_message::{LeaseGrant, LeaseRequest, PeerMessage};
-use crate::process::quota::RightsNeed;
+use crate::process::quota::{RightsNeed, RightsReport};
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
@@ -113,8 +113,8 @@
         }
         let RightsRequest { nonce, node, incarnation, needs } = request;
         let term = self.raft.term();
-        let request = leadership::RightsRequest { node: &node, incarnation, complete: false, needs };
-        let transfers = self.leadership.grant_rights(now, term, &self.control_state, request);
+        let report = RightsReport { node: &node, incarnation, complete: false, needs };
+        let transfers = self.leadership.grant_rights(now, term, &self.control_state, report);
         self.send(from, PeerMessage::RightsGrant { nonce, valid_for: LEASE_DURATION, term, transfers });
     }
 }
--- a/engine/src/process/controller/publication.rs
+++ b/engine/src/process/controller/publication.rs
@@ -3,6 +3,7 @@
 use super::Controller;
 use crate::process::dissemination::anti_entropy::{Update, UpdateValue};
 use crate::process::peer_message::PeerMessage;
+use crate::version::control_state::UpdateKey;
 
 impl Controller {
     /// Publishes what the log has changed since the last call.
@@ -27,24 +28,23 @@
         }
     }
 
-    /// What stands under an update's key now. Keys are a letter for the kind, a slash, and a name.
+    /// What stands under an update's key now.
     fn update_value(&self, key: &str) -> Option<UpdateValue> {
         let state = &self.control_state;
-        match key.split_once('/')? {
-            ("c", _) => state.config.as_ref().map(|config| UpdateValue::Config(config.raw.clone())),
-            ("e", service) => state.epochs.get(service).map(|epoch| UpdateValue::Epoch {
+        match UpdateKey::parse(key)? {
+            UpdateKey::Config => state.config.as_ref().map(|config| UpdateValue::Config(config.raw.clone())),
+            UpdateKey::Epoch(service) => state.epochs.get(service).map(|epoch| UpdateValue::Epoch {
                 service: service.to_owned(),
                 epoch: epoch.epoch,
                 primary: epoch.primary.clone(),
                 term: epoch.term,
                 closed: epoch.closed,
             }),
-            ("d", id) => Some(UpdateValue::DrainInstance { id: id.to_owned() }),
-            ("q", _) => Some(UpdateValue::Voters(state.voters.iter().map(|voter| voter.ip).collect())),
-            ("s", name) => {
+            UpdateKey::DrainingInstance(id) => Some(UpdateValue::DrainInstance { id: id.to_owned() }),
+            UpdateKey::Voters => Some(UpdateValue::Voters(state.voters.iter().map(|voter| voter.ip).collect())),
+            UpdateKey::PoolerShare(name) => {
                 Some(UpdateValue::PoolerShare { name: name.to_owned(), share: state.pooler_shares.get(name).cloned() })
             }
-            _ => None,
         }
     }
 
--- a/engine/src/process/dissemination/partial_view.rs
+++ b/engine/src/process/dissemination/partial_view.rs
@@ -1,6 +1,7 @@
 //! A partial view of the daemons, in the manner of Cyclon: each daemon knows a few others and shuffles what
 //! it knows with one of them.
 
+use crate::process::settings::Settings;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -22,6 +23,20 @@
     pub age: u16,
 }
 
+impl PeerDescriptor {
+    /// A fresh descriptor of the daemon with these settings. `control`: where instances and the operator call it, if
+    /// they may.
+    pub fn of_daemon(settings: &Settings, control: Option<SocketAddrV4>) -> Self {
+        PeerDescriptor {
+            name: settings.node_name.clone(),
+            ip: settings.ip,
+            zone: settings.zone.clone(),
+            control,
+            age: 0,
+        }
+    }
+}
+
 /// Descriptors kept in a view.
 const VIEW_SIZE: usize = 10;
 /// Descriptors sent in a shuffle, beside the sender's own.
--- a/engine/src/process/forwarding/forwarded_session.rs
+++ b/engine/src/process/forwarding/forwarded_session.rs
@@ -14,7 +14,7 @@
 const STATE_IDLE: u8 = b'I';
 const STATE_FAILED: u8 = b'E';
 
-const CARRIER_GONE: &str = "the daemon that served this session is gone";
+const CARRIER_GONE: &str = "the connection to the pooler that served this session was lost";
 
 /// The relay of a forwarded session. Bytes pass through; lines are looked at just enough to know whether the
 /// session is idle and which revision of the configuration serves it.
@@ -47,7 +47,7 @@
 }
 
 impl ForwardedSession {
-    /// A new session, whose carrier has been told the revision.
+    /// A new session, whose carrier knows the revision.
     pub fn new(revision: u64) -> Self {
         ForwardedSession {
             request_prefix: Vec::new(),
@@ -210,7 +210,7 @@
     pub fn reject_requests(&mut self, now: Instant, bytes: &[u8]) -> String {
         self.handle_client_bytes(now, bytes, self.announced_revision);
         let error = match self.transaction_state {
-            STATE_IDLE => RequestError::busy(&format!("{CARRIER_GONE}; come back at once")),
+            STATE_IDLE => RequestError::busy(&format!("{CARRIER_GONE}; reconnect at once")),
             _ => RequestError::aborted(&format!("{CARRIER_GONE}; the transaction is rolled back")),
         };
         let rejected = std::mem::take(&mut self.unanswered_requests);
--- a/engine/src/process/forwarding/mod.rs
+++ b/engine/src/process/forwarding/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Where a service's connections are too few for every pooler to hold some, a few poolers (the carriers)
 //! hold them all, and the others forward their clients' sessions to these. Every daemon computes the same
-//! carriers from the pooler shares in the log. `docs/scale.md` tells what was weighed.
+//! carriers from the pooler shares in the log. `docs/scale.md` has the trade-offs.
 
 mod carrier_assignment;
 mod control_line;
--- a/engine/src/process/leadership/mod.rs
+++ b/engine/src/process/leadership/mod.rs
@@ -34,11 +34,10 @@
 pub use leases::LEASE_DURATION;
 pub use outbox::Effect;
 pub use platform_calls::PlatformCallOutcome;
-pub use tenant_rights::RightsRequest;
 
 use super::instance_registry::InstanceRegistry;
 use super::peer_message::{GrantedLease, LeaseRequest};
-use super::quota::RightsTransfer;
+use super::quota::{RightsReport, RightsTransfer};
 use super::settings::{Platform, TimingBounds};
 use crate::version::control_state::{Command, ControlState};
 use connection_shares::ConnectionShares;
@@ -177,13 +176,13 @@
         pooler: Ipv4Addr,
         mut request: LeaseRequest,
     ) -> LeaseDecision {
-        let rights_request = RightsRequest {
+        let rights_report = RightsReport {
             node: &request.node,
             incarnation: request.incarnation,
             complete: request.known_term == context.term,
             needs: std::mem::take(&mut request.rights_needs),
         };
-        let transfers = self.grant_rights(context.now, context.term, context.control_state, rights_request);
+        let transfers = self.grant_rights(context.now, context.term, context.control_state, rights_report);
         self.usage.record_counts(&request.node, request.incarnation, std::mem::take(&mut request.usage));
         let leases = self.grant_leases(context, pooler, &request.services);
         self.poolers.record(context.now, pooler, request);
@@ -209,10 +208,10 @@
         now: Instant,
         term: u64,
         control_state: &ControlState,
-        request: RightsRequest,
+        report: RightsReport,
     ) -> Vec<RightsTransfer> {
         let lead = self.begin_term(now, term);
-        self.rights.grant(now, lead, &self.bounds, control_state, request)
+        self.rights.grant(now, lead, &self.bounds, control_state, report)
     }
 
     /// A pooler gave a lease back.
--- a/engine/src/process/leadership/primary_failover.rs
+++ b/engine/src/process/leadership/primary_failover.rs
@@ -1,8 +1,7 @@
 //! Replacing a service's primary, step by step.
 //!
 //! Each step is committed to the log before anything is done outside, so that another leader can go on where this one
-//! stopped. What is committed is in [`Epoch`](crate::version::control_state::Epoch); what is only remembered here is
-//! lost with the lead and gathered anew.
+//! stopped. What is committed is in [`Epoch`]; what is only remembered here is lost with the lead and gathered anew.
 //!
 //! | Epoch in the log    | Step                                                                                  |
 //! |---------------------|---------------------------------------------------------------------------------------|
--- a/engine/src/process/leadership/tenant_rights.rs
+++ b/engine/src/process/leadership/tenant_rights.rs
@@ -6,27 +6,12 @@
 use super::Lead;
 use super::leases::LEASE_DURATION;
 use crate::process::consensus::LEADER_CONFIRMATION;
-use crate::process::quota::{
-    QuotaCoordinator, QuotaCoordinatorOptions, QuotaExcess, RightsNeed, RightsReport, RightsTransfer,
-};
+use crate::process::quota::{QuotaCoordinator, QuotaCoordinatorOptions, QuotaExcess, RightsReport, RightsTransfer};
 use crate::process::settings::TimingBounds;
 use crate::version::config;
 use crate::version::control_state::ControlState;
 use std::time::Instant;
 
-/// A pooler's request for rights.
-#[derive(Debug, Clone)]
-pub struct RightsRequest<'a> {
-    /// Name of the pooler's node.
-    pub node: &'a str,
-    /// Identity of its process.
-    pub incarnation: u64,
-    /// Whether the needs cover every tenant that the pooler holds rights for.
-    pub complete: bool,
-    /// What it holds and wants, by tenant.
-    pub needs: Vec<RightsNeed>,
-}
-
 /// The coordinator of this term, from the first request on.
 #[derive(Debug, Default)]
 pub struct TenantRights(Option<QuotaCoordinator>);
@@ -39,7 +24,7 @@
         lead: Lead,
         bounds: &TimingBounds,
         control_state: &ControlState,
-        request: RightsRequest,
+        report: RightsReport,
     ) -> Vec<RightsTransfer> {
         let options = QuotaCoordinatorOptions {
             term: lead.term,
@@ -53,12 +38,6 @@
             let quotas = document.map(|document| config::quotas(&document)).unwrap_or_default();
             coordinator.set_quotas(control_state.revision(), quotas);
         }
-        let report = RightsReport {
-            node: request.node,
-            incarnation: request.incarnation,
-            complete: request.complete,
-            needs: request.needs,
-        };
         coordinator.handle_report(now, report, control_state.pooler_shares.keys())
     }
 
--- a/engine/src/version/control_state/apply.rs
+++ b/engine/src/version/control_state/apply.rs
@@ -2,8 +2,8 @@
 
 use super::accepted_changes::{Fingerprint, KnownChange};
 use super::{
-    Command, ConfigChange, ConfigVersion, ControlState, Epoch, Outcome, ProposalId, UsageReport, change_history,
-    update_key,
+    Command, ConfigChange, ConfigVersion, ControlState, Epoch, Outcome, ProposalId, UpdateKey, UsageReport,
+    change_history,
 };
 use crate::process::forwarding::PoolerShares;
 use crate::version::config::{self, Document};
@@ -54,8 +54,8 @@
     }
 
     /// Notes that the entry being applied changed the part of the state with this key.
-    fn mark_changed(&mut self, key: String) {
-        self.changed_at.insert(key, self.applied_index);
+    fn mark_changed(&mut self, key: UpdateKey) {
+        self.changed_at.insert(key.to_string(), self.applied_index);
     }
 
     /// Replaces the configuration. The order of the checks matters: a repeat of an accepted change is acknowledged
@@ -80,7 +80,7 @@
         change_history::record(&mut self.change_history, change);
         self.config = Some(ConfigVersion { revision: document.revision, raw: raw.to_vec() });
         self.accepted_changes.record(if_match, fingerprint);
-        self.mark_changed(update_key::CONFIG.to_owned());
+        self.mark_changed(UpdateKey::Config);
         Outcome::Accepted
     }
 
@@ -93,7 +93,7 @@
             return Outcome::SUPERSEDED;
         };
         current.closed = true;
-        self.mark_changed(update_key::epoch(service));
+        self.mark_changed(UpdateKey::Epoch(service));
         Outcome::Accepted
     }
 
@@ -115,7 +115,7 @@
         let caller = old.and_then(|old| old.caller.clone());
         let new = Epoch { epoch, primary: primary.to_owned(), term, closed: false, candidate: None, caller };
         self.epochs.insert(service.to_owned(), new);
-        self.mark_changed(update_key::epoch(service));
+        self.mark_changed(UpdateKey::Epoch(service));
         Outcome::Accepted
     }
 
@@ -127,9 +127,9 @@
         if self.draining_instances.len() > DRAINING_INSTANCES_KEPT
             && let Some(oldest) = self.draining_instances.pop_front()
         {
-            self.changed_at.remove(&update_key::draining_instance(&oldest));
+            self.changed_at.remove(&UpdateKey::DrainingInstance(&oldest).to_string());
         }
-        self.mark_changed(update_key::draining_instance(id));
+        self.mark_changed(UpdateKey::DrainingInstance(id));
         Outcome::Accepted
     }
 
@@ -138,7 +138,7 @@
         let names: BTreeSet<&String> = old.keys().chain(shares.keys()).collect();
         for name in names {
             if old.get(name) != shares.get(name) {
-                self.mark_changed(update_key::pooler_share(name));
+                self.mark_changed(UpdateKey::PoolerShare(name));
             }
         }
         Outcome::Accepted
@@ -164,7 +164,7 @@
 
     fn change_electorate(&mut self, electorate: &Electorate) -> Outcome {
         self.voters = electorate.all_voters();
-        self.mark_changed(update_key::VOTERS.to_owned());
+        self.mark_changed(UpdateKey::Voters);
         Outcome::Accepted
     }
 }
--- a/engine/src/version/control_state/mod.rs
+++ b/engine/src/version/control_state/mod.rs
@@ -11,7 +11,7 @@
 //! * [`change_history`]: who changed what, for operators.
 //! * [`proposal_results`]: results kept for proposers that ask again.
 //! * [`records`]: the values held in the state.
-//! * [`update_key`]: the names under which parts of the state are disseminated.
+//! * `update_key`: the names under which parts of the state are disseminated.
 //!
 //! The state is stored in snapshots by `bincode`: the order and the types of the fields of everything in here are part
 //! of the stored format, their names are not. [`ConfigChange`] and [`NameDifference`] are also served as JSON by
@@ -24,7 +24,7 @@
 pub mod outcome;
 pub mod proposal_results;
 pub mod records;
-pub mod update_key;
+mod update_key;
 
 pub use accepted_changes::ACCEPTED_CHANGES_KEPT;
 pub use apply::DRAINING_INSTANCES_KEPT;
@@ -32,6 +32,7 @@
 pub use command::Command;
 pub use outcome::{Outcome, ProposalId};
 pub use records::{ConfigVersion, Epoch, UsageReport};
+pub use update_key::UpdateKey;
 
 use super::electorate::Voter;
 use crate::process::forwarding::PoolerShares;
@@ -65,7 +66,7 @@
     pub voters: Vec<Voter>,
     /// The latest accepted configuration changes, oldest first.
     pub change_history: VecDeque<ConfigChange>,
-    /// By [`update_key`]: index of the log entry that last changed this part of the state.
+    /// By [`UpdateKey`]: index of the log entry that last changed this part of the state.
     pub changed_at: BTreeMap<String, u64>,
 }
 
--- a/pooler/src/driver/mod.rs
+++ b/pooler/src/driver/mod.rs
@@ -87,13 +87,7 @@
         let mut rng = fastrand::Rng::new();
         let bounds = &settings.timing_bounds;
         let pooler = Pooler::new(now, &settings.node_name, &settings.zone, bounds.clone(), rng.u64(..));
-        let descriptor = PeerDescriptor {
-            name: settings.node_name.clone(),
-            ip: settings.ip,
-            zone: settings.zone.clone(),
-            control: None,
-            age: 0,
-        };
+        let descriptor = PeerDescriptor::of_daemon(settings, None);
         let seeds = settings.seed_nodes.iter().map(|seed| *seed.ip()).collect();
         let tree_options = TreeOptions {
             partial_view: PartialView::new(descriptor, rng.fork()),
--- a/simulator/src/world/hosts.rs
+++ b/simulator/src/world/hosts.rs
@@ -242,13 +242,7 @@
     fn start_pooler(&mut self, index: HostIndex, settings: &Settings, seed: u64) {
         let now = self.instant();
         let rng = fastrand::Rng::with_seed(seed);
-        let descriptor = PeerDescriptor {
-            name: settings.node_name.clone(),
-            ip: settings.ip,
-            zone: settings.zone.clone(),
-            control: None,
-            age: 0,
-        };
+        let descriptor = PeerDescriptor::of_daemon(settings, None);
         let seeds = settings.seed_nodes.iter().map(|address| *address.ip()).collect();
         let partial_view = PartialView::new(descriptor, rng);
         let pooler = Pooler::new(now, &settings.node_name, &settings.zone, settings.timing_bounds.clone(), seed);
