--- a/engine/src/process/dissemination/tree/mod.rs
+++ b/engine/src/process/dissemination/tree/mod.rs
@@ -162,7 +162,7 @@
     }
 
     /// The leader answered this daemon directly, with the digests of its copies if they differ. Where the
-    /// tree does not bring the difference within [`DIVERGENCE_TIMEOUT`], it is requested from the leader.
+    /// tree does not bring the difference within `DIVERGENCE_TIMEOUT`, it is requested from the leader.
     pub fn note_leader_answer(&mut self, now: Instant, leader: Ipv4Addr, digests: Option<&Digests>) {
         self.leader_contact.note_answer(now);
         let ranges = digests.map(|theirs| self.update_store.differing_ranges(theirs)).unwrap_or_default();
--- a/runtime/src/byte_stream.rs
+++ b/runtime/src/byte_stream.rs
@@ -150,7 +150,7 @@
     }
 
     /// Reads until the connection ends and passes what arrives to `on_bytes`. After [`ByteStream::close`] what
-    /// arrives is dropped, and reading ends [`LINGER_TIMEOUT`] later at the latest.
+    /// arrives is dropped, and reading ends `LINGER_TIMEOUT` later at the latest.
     pub async fn read(self: Rc<Self>, mut on_bytes: impl FnMut(&[u8])) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let mut buffer = vec![0; READ_BUFFER_BYTES];
--- a/runtime/src/peer_links/mod.rs
+++ b/runtime/src/peer_links/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// Sends a message, dialling first where no link is open. It is dropped if the link breaks, if dialling fails, or
-    /// within [`REDIAL_BACKOFF`] of a failure.
+    /// within `REDIAL_BACKOFF` of a failure.
     pub fn send(&self, to: Ipv4Addr, message: &PeerMessage) {
         let frame = encode_frame(message);
         let now = Instant::now();
--- a/runtime/src/signals.rs
+++ b/runtime/src/signals.rs
@@ -12,7 +12,7 @@
 pub enum ProcessSignal {
     /// SIGTERM or SIGINT: drain and exit.
     Terminate,
-    /// SIGHUP, or [`SETTINGS_CHECK_INTERVAL`] without a signal: read the settings file if it changed.
+    /// SIGHUP, or `SETTINGS_CHECK_INTERVAL` without a signal: read the settings file if it changed.
     ReloadSettings,
     /// SIGUSR1: write the log ring out.
     DumpLog,
--- a/runtime/src/socket.rs
+++ b/runtime/src/socket.rs
@@ -34,7 +34,7 @@
     Async::<TcpListener>::bind(address).map_err(|source| ListenError { address, source })
 }
 
-/// Waits for the next connection. A failed `accept` is retried after [`ACCEPT_RETRY_DELAY`], without end; only the
+/// Waits for the next connection. A failed `accept` is retried after `ACCEPT_RETRY_DELAY`, without end; only the
 /// first failure in a row is logged, so that the log ring keeps what led to it.
 pub async fn accept(listener: &Async<TcpListener>) -> Async<TcpStream> {
     let mut failure_logged = false;
