--- a/engine/src/process/pooler/draining.rs
+++ b/engine/src/process/pooler/draining.rs
@@ -33,11 +33,9 @@
         });
     }
 
-    /// The end: whoever still waits gets the true state of its request, at once; whoever is between two statements of a
-    /// transaction gets it at the next one. To be called until no session is left.
+    /// The end: whoever still waits gets the true state of its request, at once. To be called until no session is left.
     pub fn close_all_sessions(&mut self, now: Instant) {
         self.closing = true;
-        self.roll_back_idle_transactions(now);
         for session_id in self.sessions.ids() {
             let Some(session) = self.sessions.get(session_id) else { continue };
             let error = session.statement.as_ref().map(|statement| {
@@ -47,21 +45,11 @@
                 self.fail_statement(now, session_id, &error);
             }
             self.process_input(now, session_id);
-            if !self.owes_abort_notification(session_id) {
-                self.request_close(session_id, DrainPhase::Closing);
-            }
+            self.request_close(session_id, DrainPhase::Closing);
         }
         self.finish_input(now);
     }
 
-    /// Whether the session's transaction was rolled back and its client does not know yet. A close would meet that
-    /// client within its operation and leave it without an answer, so the session stays until the next statement is
-    /// answered, or the process ends.
-    fn owes_abort_notification(&self, session_id: SessionId) -> bool {
-        let session = self.sessions.get(session_id);
-        session.is_some_and(|session| matches!(session.transaction, Transaction::Failed { notified: false }))
-    }
-
     /// Whether what is sent now arrives soon. The leader's answers come by the same link as the clients' statements:
     /// where they are late, a statement may be on its way to a session that seems idle, and its client would learn late
     /// that the session was closed.
--- a/engine/src/process/pooler/tests.rs
+++ b/engine/src/process/pooler/tests.rs
@@ -64,35 +64,3 @@
             && !names.iter().all(|s| pooler.carriers.is_carried_elsewhere(s))
     );
 }
-
-/// At the end of the grace period a client between two statements of a transaction learns of its rollback from the
-/// answer to the next one; a close would leave it without an answer.
-#[test]
-fn a_transaction_between_statements_is_answered_before_its_session_is_closed_at_the_end() {
-    let start = Instant::now();
-    let at = |ms| start + Duration::from_millis(ms);
-    let mut pooler = Pooler::new(start, "edge-0", "z0", TimingBounds::default(), 1);
-    let raw = r#"{"revision":2,"routes":[{"name":"d","hostname":"d","type":"primary","deadline-ms":800,"service":"d"}],
-        "backends":[{"name":"d"}],"customers":[{"name":"t","api-keys":["k"]}]}"#;
-    let value = UpdateValue::Config(raw.as_bytes().to_vec());
-    pooler.apply_updates(start, &[Update { key: "c/".into(), version: 2, value }]);
-    for (session_id, statements) in [(1, "QUERY a BEGIN\r\n"), (2, "QUERY a SET x 1\r\n")] {
-        pooler.accept_session(session_id);
-        pooler.handle_client_bytes(start, session_id, format!("CONNECT d k\r\n{statements}").as_bytes());
-    }
-    pooler.begin_draining(at(100));
-    pooler.take_effects();
-
-    pooler.close_all_sessions(at(5200));
-    let closed = |effects: &[Effect], id| effects.iter().any(|e| matches!(e, Effect::CloseClientIfIdle(n) if *n == id));
-    let effects = pooler.take_effects();
-    assert!(closed(&effects, 2), "nothing is open there");
-    assert!(!closed(&effects, 1), "its client is between two statements");
-
-    pooler.handle_client_bytes(at(5210), 1, b"QUERY b READ x\r\n");
-    let effects = pooler.take_effects();
-    let answered = effects.iter().any(|e| matches!(e, Effect::SendToClient(1, text) if text.contains("ERROR ABORTED")));
-    assert!(answered, "{effects:?}");
-    pooler.close_all_sessions(at(5250));
-    assert!(closed(&effects, 1) || closed(&pooler.take_effects(), 1), "now it may go");
-}
