--- a/controller/src/store/mod.rs
+++ b/controller/src/store/mod.rs
@@ -16,8 +16,6 @@
 mod format;
 mod writer;
 
-#[cfg(test)]
-mod golden;
 #[cfg(test)]
 mod tests;
 
--- a/controller/src/store/tests.rs
+++ b/controller/src/store/tests.rs
@@ -1,5 +1,7 @@
 //! The store on a simulated disk that refuses and loses power, and in a real folder.
 
+mod golden;
+
 use super::format::encode_record;
 use super::*;
 use lichenfield_engine::process::consensus::{Entry, HardState, IndexedEntry, Snapshot};
--- a/controller/src/store/golden.rs
+++ b/controller/src/store/tests/golden.rs
@@ -3,7 +3,7 @@
 //! `tests/golden/NAME/queen.log` is never regenerated; each file's bytes are also encoded from the values that led to
 //! it, so that the format is pinned in both directions.
 
-use super::*;
+use super::super::*;
 use lichenfield_engine::process::consensus::{Entry, HardState, IndexedEntry, Snapshot};
 use lichenfield_engine::version::control_state::{Command, ProposalId};
 use lichenfield_engine::version::electorate::{Electorate, Voter};
